--- a/src/controllers/replicas/advance.ts
+++ b/src/controllers/replicas/advance-replicas.ts
@@ -7,8 +7,8 @@
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Replica } from '../../objects/index.js';
-import { nextFence, replaceReplica, type Draft } from './draft.js';
-import { judgeStanding, measureAbsence, type Standing } from './standing.js';
+import { nextFence, replaceReplica, type Draft } from './plan-draft.js';
+import { judgeStanding, measureAbsence, type Standing } from './member-status.js';
 import type { DomainInput } from './types.js';
 
 /** Moves every replica of the draft on by one look at the reports. */
--- a/src/controllers/replicas/assemble.ts
+++ b/src/controllers/replicas/domains.ts
@@ -7,7 +7,7 @@
 import { isLeaving } from '../health/gate.js';
 import type { DomainSupply, InstanceGroup } from './demand.js';
 import type { DomainPlace } from './lease.js';
-import { measureAbsence } from './standing.js';
+import { measureAbsence } from './member-status.js';
 import type { DomainInput, DomainMember } from './types.js';
 
 /** Members of one domain by instance name. */
--- a/src/controllers/replicas/donors.ts
+++ b/src/controllers/replicas/donors.ts
@@ -4,10 +4,10 @@
 import type { Milliseconds } from '../../core/clock/index.js';
 import { matchesSelector } from '../../core/labels/index.js';
 import type { Model, Replica } from '../../objects/index.js';
-import { isActive, type Draft } from './draft.js';
-import { judgeStanding } from './standing.js';
+import { isActive, type Draft } from './plan-draft.js';
+import { judgeStanding } from './member-status.js';
 import type { DomainInput } from './types.js';
-import { rateDowntime } from './weigh.js';
+import { rateDowntime } from './loss-costs.js';
 
 /** What is asked of donors. */
 export interface DonorRequest {
--- a/src/controllers/replicas/allocate.ts
+++ b/src/controllers/replicas/form-replicas.ts
@@ -6,12 +6,12 @@
 import { matchesSelector } from '../../core/labels/index.js';
 import type { Model, Replica } from '../../objects/index.js';
 import { compareText, countUses, sortModels, type NamedModel } from './demand.js';
-import { isActive, nextFence, retireReplica, type Draft } from './draft.js';
-import { listFree } from './free.js';
-import { scoreLosses } from './history.js';
+import { isActive, nextFence, retireReplica, type Draft } from './plan-draft.js';
+import { listFree } from './free-instances.js';
+import { scoreLosses } from './loss-history.js';
 import { chooseDonors } from './donors.js';
 import type { DomainInput } from './types.js';
-import { chooseSpares, estimateReplace, estimateReturn, rateDowntime } from './weigh.js';
+import { chooseSpares, estimateReplace, estimateReturn, rateDowntime } from './loss-costs.js';
 
 /** Free instances, each with what speaks against taking it first. */
 interface Pool {
--- a/src/controllers/replicas/free.ts
+++ b/src/controllers/replicas/free-instances.ts
@@ -2,9 +2,9 @@
  * Which instances of the domain may go into a new replica now, and which soon.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
-import type { Draft } from './draft.js';
-import { isFlapping } from './history.js';
-import { isUsable, measureAbsence } from './standing.js';
+import type { Draft } from './plan-draft.js';
+import { isFlapping } from './loss-history.js';
+import { isUsable, measureAbsence } from './member-status.js';
 import type { DomainInput } from './types.js';
 
 /** Names of instances. */
--- a/src/controllers/replicas/index.ts
+++ b/src/controllers/replicas/index.ts
@@ -1,12 +1,12 @@
-export * from './assemble.js';
+export * from './domains.js';
 export * from './check-plan.js';
 export * from './constants.js';
 export * from './demand.js';
-export * from './drained.js';
-export * from './history.js';
+export * from './drained-replicas.js';
+export * from './loss-history.js';
 export * from './lease.js';
 export * from './orders.js';
 export * from './ownership.js';
 export * from './plan-domain.js';
 export type * from './types.js';
-export * from './weigh.js';
+export * from './loss-costs.js';
--- a/src/controllers/replicas/history.ts
+++ b/src/controllers/replicas/loss-history.ts
@@ -2,7 +2,7 @@
  * The memory of losses: an instance that comes and goes is charged for it.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
-import { measureAbsence } from './standing.js';
+import { measureAbsence } from './member-status.js';
 import type { DomainInput, DomainMember, Estimates, LossHistory, LossRecord } from './types.js';
 
 /**
--- a/src/controllers/replicas/orders.ts
+++ b/src/controllers/replicas/orders.ts
@@ -5,7 +5,7 @@
 import type { Milliseconds } from '../../core/clock/index.js';
 import { matchesSelector, type Selector } from '../../core/labels/index.js';
 import type { Model, Replica } from '../../objects/index.js';
-import { judgeStanding, measureAbsence } from './standing.js';
+import { judgeStanding, measureAbsence } from './member-status.js';
 import type { DomainInput, DomainMember } from './types.js';
 
 /** An order and the engine that it is for. */
--- a/src/controllers/replicas/plan-domain.ts
+++ b/src/controllers/replicas/plan-domain.ts
@@ -2,12 +2,12 @@
  * One fabric domain's next plan, from what is known of it now.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
-import { advanceReplicas } from './advance.js';
-import { formReplicas, retireSurplus } from './allocate.js';
-import { closeDraft, openDraft } from './draft.js';
-import { repairReplicas } from './repair.js';
-import { measureAbsence } from './standing.js';
-import { releaseStrays } from './strays.js';
+import { advanceReplicas } from './advance-replicas.js';
+import { formReplicas, retireSurplus } from './form-replicas.js';
+import { closeDraft, openDraft } from './plan-draft.js';
+import { repairReplicas } from './repair-replicas.js';
+import { measureAbsence } from './member-status.js';
+import { releaseStrays } from './stray-instances.js';
 import type { DomainInput, PlanDecision } from './types.js';
 
 /**
--- a/src/controllers/replicas/draft.ts
+++ b/src/controllers/replicas/plan-draft.ts
@@ -4,7 +4,7 @@
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { DomainPlan, Replica } from '../../objects/index.js';
 import type { DomainInput, PlanReason, RetireCause } from './types.js';
-import { judgeStanding } from './standing.js';
+import { judgeStanding } from './member-status.js';
 
 /** Owned by one call of `planDomain`; changed in place by its steps. */
 export interface Draft {
--- a/src/controllers/replicas/repair.ts
+++ b/src/controllers/replicas/repair-replicas.ts
@@ -6,12 +6,12 @@
 import type { Model, Replica } from '../../objects/index.js';
 import { sortModels } from './demand.js';
 import { chooseDonors, type DonorChoice } from './donors.js';
-import { isActive, retireReplica, type Draft } from './draft.js';
-import { scoreLosses } from './history.js';
-import { listFree } from './free.js';
-import { judgeStanding, type Standing } from './standing.js';
+import { isActive, retireReplica, type Draft } from './plan-draft.js';
+import { scoreLosses } from './loss-history.js';
+import { listFree } from './free-instances.js';
+import { judgeStanding, type Standing } from './member-status.js';
 import type { DomainInput, RetireCause } from './types.js';
-import { chooseWait, estimateReplace, estimateReturn, rateDowntime } from './weigh.js';
+import { chooseWait, estimateReplace, estimateReturn, rateDowntime } from './loss-costs.js';
 
 /** A replica with what is known of its members. */
 interface Assessed {
--- a/src/controllers/replicas/strays.ts
+++ b/src/controllers/replicas/stray-instances.ts
@@ -6,8 +6,8 @@
  * domain. It goes through a release of its own, with a number above all that it has seen.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
-import { nextFence, type Draft } from './draft.js';
-import { measureAbsence } from './standing.js';
+import { nextFence, type Draft } from './plan-draft.js';
+import { measureAbsence } from './member-status.js';
 import type { DomainInput } from './types.js';
 
 /** Adds a released replica for each stray instance. */
