--- a/src/controllers/replicas/advance-replicas.ts
+++ b/src/controllers/replicas/advance-replicas.ts
@@ -1,29 +1,29 @@
 /**
- * The phases of a replica, moved on by what its members report.
+ * Phase transitions of replicas, driven by the reports of their members.
  *
- * `planned` → `loading` once all members took the order, → `whole` once all are ready. `draining` →
- * `released` once nothing is in flight or the leader is lost. A released replica stays in the plan,
- * with the members that have not confirmed, until none is left: until then none of them is free.
+ * `planned` → `loading` once all members have accepted the form order, → `whole` once all are ready.
+ * `draining` → `released` once no request is in flight or the leader is lost. A released replica
+ * stays in the plan until every member has confirmed its release; unconfirmed members are not free.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Replica } from '../../objects/index.js';
-import { nextFence, replaceReplica, type Draft } from './plan-draft.js';
-import { judgeStanding, measureAbsence, type Standing } from './member-status.js';
+import { nextFence, replaceReplica, type PlanDraft } from './plan-draft.js';
+import { getMemberStatus, measureAbsence, type MemberStatus } from './member-status.js';
 import type { DomainInput } from './types.js';
 
-/** Moves every replica of the draft on by one look at the reports. */
-export function advanceReplicas(input: DomainInput, draft: Draft, now: Milliseconds): void {
+/** Applies the phase transitions that are due to every replica of the draft. */
+export function advanceReplicas(input: DomainInput, draft: PlanDraft, now: Milliseconds): void {
   for (const replica of [...draft.replicas]) {
     switch (replica.phase) {
       case 'planned':
       case 'loading':
-        advanceForming(input, draft, replica, now);
+        advanceFormingReplica(input, draft, replica, now);
         break;
       case 'draining':
-        advanceDraining(input, draft, replica, now);
+        advanceDrainingReplica(input, draft, replica, now);
         break;
       case 'released':
-        freeMembers(input, draft, replica, now);
+        removeConfirmedMembers(input, draft, replica, now);
         break;
       case 'whole':
         break;
@@ -31,27 +31,27 @@
   }
 }
 
-function advanceForming(
+function advanceFormingReplica(
   input: DomainInput,
-  draft: Draft,
+  draft: PlanDraft,
   replica: Replica,
   now: Milliseconds,
 ): void {
-  const standings = replica.members.map((_, rank) => judgeStanding(input, replica, rank, now));
-  if (!standings.every((standing) => standing.kind === 'inPlace')) return;
-  const phase = standings.every(isReady) ? 'whole' : 'loading';
+  const statuses = replica.members.map((_, rank) => getMemberStatus(input, replica, rank, now));
+  if (!statuses.every((status) => status.kind === 'inPlace')) return;
+  const phase = statuses.every(isReady) ? 'whole' : 'loading';
   if (phase === replica.phase) return;
   replaceReplica(draft, { ...replica, phase });
   draft.reasons.push({ kind: 'advanced', replica: replica.id, phase });
 }
 
-function isReady(standing: Standing): boolean {
-  return standing.kind === 'inPlace' && standing.ready;
+function isReady(status: MemberStatus): boolean {
+  return status.kind === 'inPlace' && status.ready;
 }
 
-function advanceDraining(
+function advanceDrainingReplica(
   input: DomainInput,
-  draft: Draft,
+  draft: PlanDraft,
   replica: Replica,
   now: Milliseconds,
 ): void {
@@ -60,7 +60,7 @@
   draft.reasons.push({ kind: 'advanced', replica: replica.id, phase: 'released' });
 }
 
-/** A leader that is lost, restarted or failed has nothing in flight that could still end well. */
+/** Requests in flight cannot complete once the leader is lost, has restarted or has failed. */
 function isLeaderLost(input: DomainInput, replica: Replica, now: Milliseconds): boolean {
   const planned = replica.members[0];
   const member = planned === undefined ? undefined : input.members.get(planned.instance);
@@ -72,28 +72,33 @@
   return report.replica?.id !== replica.id && report.fence >= replica.fence;
 }
 
-function freeMembers(input: DomainInput, draft: Draft, replica: Replica, now: Milliseconds): void {
-  const left = replica.members.filter(
-    ({ instance, incarnation }) => !hasConfirmed(input, replica, instance, incarnation, now),
+function removeConfirmedMembers(
+  input: DomainInput,
+  draft: PlanDraft,
+  replica: Replica,
+  now: Milliseconds,
+): void {
+  const unconfirmed = replica.members.filter(
+    ({ instance, incarnation }) => !hasConfirmedRelease(input, replica, instance, incarnation, now),
   );
-  if (left.length === replica.members.length) return;
-  const kept = new Set(left.map(({ instance }) => instance));
-  const members = replica.members
+  if (unconfirmed.length === replica.members.length) return;
+  const unconfirmedNames = new Set(unconfirmed.map(({ instance }) => instance));
+  const confirmed = replica.members
     .map(({ instance }) => instance)
-    .filter((instance) => !kept.has(instance));
-  draft.reasons.push({ kind: 'freed', replica: replica.id, members });
-  if (left.length > 0) replaceReplica(draft, { ...replica, members: left });
+    .filter((instance) => !unconfirmedNames.has(instance));
+  draft.reasons.push({ kind: 'freed', replica: replica.id, members: confirmed });
+  if (unconfirmed.length > 0) replaceReplica(draft, { ...replica, members: unconfirmed });
   else draft.replicas = draft.replicas.filter(({ id }) => id !== replica.id);
 }
 
 /**
- * Whether the instance itself says that it has left `replica`.
+ * Whether the instance has confirmed that it left `replica`.
  *
- * An idle report alone does not do: it may be older than an order to form that is still under way.
- * The same process must have seen the release's own number; another process never held the replica
- * and refuses orders for the former one by their incarnation.
+ * An idle report alone is not sufficient, since it may predate a form order that is still in
+ * transit. The process must have seen the fencing token of the release. A restarted process never
+ * held the replica and rejects orders that name the previous incarnation.
  */
-function hasConfirmed(
+function hasConfirmedRelease(
   input: DomainInput,
   replica: Replica,
   instance: string,
--- a/src/controllers/replicas/constants.ts
+++ b/src/controllers/replicas/constants.ts
@@ -1,5 +1,5 @@
 /**
- * What the planner expects until measurements of an installation say otherwise.
+ * Defaults of the planner.
  */
 import type { Estimates } from './types.js';
 
@@ -7,10 +7,7 @@
 const HOUR_MS = 60 * MINUTE_MS;
 const DAY_MS = 24 * HOUR_MS;
 
-/**
- * Of 1,700 instances, 19 fail and 480 are restarted on an ordinary day, which gives the shares of
- * the last two classes of loss; that pauses are a quarter of all losses is assumed.
- */
+/** The loss classes are pauses, restarts and hardware failures, in this order. */
 export const DEFAULT_ESTIMATES: Estimates = {
   formMs: MINUTE_MS,
   releaseMs: 2_000,
@@ -20,9 +17,9 @@
     { share: 0.72, meanMs: 1.5 * MINUTE_MS, keepsState: false },
     { share: 0.03, meanMs: 4 * HOUR_MS, keepsState: false },
   ],
-  lossEveryMs: 2.5 * DAY_MS,
+  meanTimeBetweenLossesMs: 2.5 * DAY_MS,
   flapHalfLifeMs: HOUR_MS,
 };
 
-/** Bound on the difference in rate between two clocks: one part in a hundred. */
+/** Upper bound on the relative rate difference between two clocks. */
 export const CLOCK_DRIFT = 0.01;
--- a/src/controllers/replicas/demand.ts
+++ b/src/controllers/replicas/demand.ts
@@ -1,48 +1,50 @@
 /**
- * Which fabric domain forms how many replicas of each model.
+ * Distributes the replicas of each model over the fabric domains.
  *
- * The wanted number is one for the whole fleet, and every domain is planned alone. Each owner
- * computes the same split from the same lists, so that no owner has to be asked. While their views
- * differ, two domains may both form a replica that only one should; the split then keeps the same
- * one of them everywhere and the other domain gives its own back.
+ * Replica counts apply to the whole fleet, but each domain is planned by its own owner. The split is
+ * deterministic, so owners with the same view agree without coordination. While views differ, two
+ * domains may form the same replica; once views converge, all owners keep the same one and the other
+ * is retired as surplus.
  */
 import { matchesSelector, type Labels } from '../../core/labels/index.js';
 import type { Model, Replica } from '../../objects/index.js';
 
-/** Healthy instances of one domain that carry the same labels. */
+/** Number of healthy instances of one domain with the same labels. */
 export interface InstanceGroup {
   labels: Labels;
   count: number;
 }
 
-/** One fabric domain, as the split sees it. */
+/** Capacity and replicas of one fabric domain, the input to the split. */
 export interface DomainSupply {
   name: string;
-  /** Instances that are heard and stay, in replicas or free. */
+  /** Reachable instances that are not leaving, whether in a replica or free. */
   groups: readonly InstanceGroup[];
-  /** Its replicas that are planned, loading or whole. */
+  /** Draining and released replicas are ignored. */
   replicas: readonly Pick<Replica, 'model' | 'phase'>[];
 }
 
-/** How many replicas of each model a domain is to have. */
+/** Desired number of replicas of each model in one domain. */
 export interface DomainShare {
   domain: string;
   wanted: ReadonlyMap<string, number>;
 }
 
-interface OpenDomain {
+/** Working state of the split for one domain. */
+interface DomainAllocation {
   name: string;
-  groups: { labels: Labels; left: number }[];
+  groups: { labels: Labels; available: number }[];
   wanted: Map<string, number>;
   whole: Map<string, number>;
-  existing: Map<string, number>;
+  active: Map<string, number>;
 }
 
 /**
- * Splits the wanted numbers over the domains. Replicas that exist are kept where they are, whole
- * ones first; the rest goes where most instances are left. Models are served by importance. None
- * takes the replicas of one that is as important: that would cost forming them anew and leave as
- * many callers unserved as before, only others.
+ * Splits the desired replica counts over the domains, by model importance. Existing replicas stay
+ * where they are, whole ones first; the rest go to the domains with the most available instances.
+ *
+ * A model never displaces replicas of an equally important one: that would pay the cost of forming
+ * replicas and leave just as many callers unserved.
  *
  * @example splitDemand(models, supplies).find(({ domain }) => domain === 'fabric-1')?.wanted
  */
@@ -50,153 +52,163 @@
   models: ReadonlyMap<string, Model>,
   supplies: readonly DomainSupply[],
 ): DomainShare[] {
-  const domains = supplies.map(openDomain).sort((a, b) => compareText(a.name, b.name));
-  const ordered = sortModels(models);
-  for (const equals of groupByImportance(ordered)) {
-    const kept = equals.map(({ name, model }) => {
-      return { name, model, missing: keepExisting(domains, name, model, ordered) };
+  const domains = supplies.map(createAllocation).sort((a, b) => compareCodeUnits(a.name, b.name));
+  const sortedModels = sortByImportance(models);
+  for (const tier of groupByImportance(sortedModels)) {
+    const unplacedModels = tier.map(({ name, model }) => {
+      return { name, model, missing: keepActiveReplicas(domains, name, model, sortedModels) };
     });
-    for (const { name, model, missing } of kept) {
-      const unplaced = placeReplicas(domains, name, model, ordered, missing);
-      keepClaims(domains, name, model, ordered, unplaced);
+    for (const { name, model, missing } of unplacedModels) {
+      const unplaced = placeReplicas(domains, name, model, sortedModels, missing);
+      keepIncompleteReplicas(domains, name, model, sortedModels, unplaced);
     }
   }
   return domains.map(({ name, wanted }) => ({ domain: name, wanted }));
 }
 
-/** A model with its name. */
 export interface NamedModel {
   name: string;
   model: Model;
 }
 
-/** The most important first; equals by name, so that every entry has the same order. */
-export function sortModels(models: ReadonlyMap<string, Model>): NamedModel[] {
+/** Most important first; ties are broken by name so that every entry computes the same order. */
+export function sortByImportance(models: ReadonlyMap<string, Model>): NamedModel[] {
   return [...models]
     .map(([name, model]) => ({ name, model }))
-    .sort((a, b) => b.model.importance - a.model.importance || compareText(a.name, b.name));
+    .sort((a, b) => b.model.importance - a.model.importance || compareCodeUnits(a.name, b.name));
 }
 
-/** Models of the same importance together, in the order given. */
-function groupByImportance(ordered: readonly NamedModel[]): NamedModel[][] {
+/** Groups models of equal importance; expects sorted input. */
+function groupByImportance(sortedModels: readonly NamedModel[]): NamedModel[][] {
   const groups: NamedModel[][] = [];
-  for (const one of ordered) {
+  for (const namedModel of sortedModels) {
     const last = groups.at(-1);
-    if (last?.[0]?.model.importance === one.model.importance) last.push(one);
-    else groups.push([one]);
+    if (last?.[0]?.model.importance === namedModel.model.importance) last.push(namedModel);
+    else groups.push([namedModel]);
   }
   return groups;
 }
 
-/** Plain order of code units, the same on every machine whatever its locale. */
-export function compareText(a: string, b: string): number {
+/** Compares by UTF-16 code units, independently of the locale. */
+export function compareCodeUnits(a: string, b: string): number {
   if (a === b) return 0;
   return a < b ? -1 : 1;
 }
 
-function openDomain(supply: DomainSupply): OpenDomain {
+function createAllocation(supply: DomainSupply): DomainAllocation {
   const whole = new Map<string, number>();
-  const existing = new Map<string, number>();
+  const active = new Map<string, number>();
   for (const { model, phase } of supply.replicas) {
     if (phase === 'draining' || phase === 'released') continue;
-    existing.set(model, (existing.get(model) ?? 0) + 1);
+    active.set(model, (active.get(model) ?? 0) + 1);
     if (phase === 'whole') whole.set(model, (whole.get(model) ?? 0) + 1);
   }
-  const groups = supply.groups.map(({ labels, count }) => ({ labels, left: count }));
-  return { name: supply.name, groups, wanted: new Map(), whole, existing };
+  const groups = supply.groups.map(({ labels, count }) => ({ labels, available: count }));
+  return { name: supply.name, groups, wanted: new Map(), whole, active };
 }
 
-/** Gives domains what they have and can hold; returns the number still to be placed. */
-function keepExisting(
-  domains: readonly OpenDomain[],
+/** Keeps existing replicas in domains with enough instances; returns the number still to place. */
+function keepActiveReplicas(
+  domains: readonly DomainAllocation[],
   name: string,
   model: Model,
-  ordered: readonly NamedModel[],
+  sortedModels: readonly NamedModel[],
 ): number {
-  let missing = model.replicas;
-  for (const source of ['whole', 'existing'] as const) {
+  let remaining = model.replicas;
+  for (const source of ['whole', 'active'] as const) {
     for (const domain of domains) {
-      const has = domain[source].get(name) ?? 0;
-      while (missing > 0 && (domain.wanted.get(name) ?? 0) < has) {
-        if (countFitting(domain, model) < model.replicaSize) break;
-        takeInstances(domain, model, ordered);
-        addWanted(domain, name);
-        missing -= 1;
+      const current = domain[source].get(name) ?? 0;
+      while (remaining > 0 && (domain.wanted.get(name) ?? 0) < current) {
+        if (countEligible(domain, model) < model.replicaSize) break;
+        reserveCapacity(domain, model, sortedModels);
+        assignReplica(domain, name);
+        remaining -= 1;
       }
     }
   }
-  return missing;
+  return remaining;
 }
 
-/** Places replicas where most instances are left; returns the number that fit nowhere. */
+/** Places replicas in the domains with the most instances; returns the number that fit nowhere. */
 function placeReplicas(
-  domains: readonly OpenDomain[],
+  domains: readonly DomainAllocation[],
   name: string,
   model: Model,
-  ordered: readonly NamedModel[],
+  sortedModels: readonly NamedModel[],
   missing: number,
 ): number {
-  for (let left = missing; left > 0; left -= 1) {
-    let best: OpenDomain | undefined;
-    let bestLeft = model.replicaSize - 1;
+  for (let remaining = missing; remaining > 0; remaining -= 1) {
+    let best: DomainAllocation | undefined;
+    let bestEligible = model.replicaSize - 1;
     for (const domain of domains) {
-      const fitting = countFitting(domain, model);
-      if (fitting <= bestLeft) continue;
+      const eligible = countEligible(domain, model);
+      if (eligible <= bestEligible) continue;
       best = domain;
-      bestLeft = fitting;
+      bestEligible = eligible;
     }
-    if (best === undefined) return left;
-    takeInstances(best, model, ordered);
-    addWanted(best, name);
+    if (best === undefined) return remaining;
+    reserveCapacity(best, model, sortedModels);
+    assignReplica(best, name);
   }
   return 0;
 }
 
-/** Lets domains keep replicas that lack members, when these could not be formed anywhere else. */
-function keepClaims(
-  domains: readonly OpenDomain[],
+/** Keeps replicas that lack members if no domain has room to form them anew. */
+function keepIncompleteReplicas(
+  domains: readonly DomainAllocation[],
   name: string,
   model: Model,
-  ordered: readonly NamedModel[],
+  sortedModels: readonly NamedModel[],
   missing: number,
 ): void {
-  let left = missing;
+  let remaining = missing;
   for (const domain of domains) {
-    const has = domain.existing.get(name) ?? 0;
-    while (left > 0 && (domain.wanted.get(name) ?? 0) < has && countFitting(domain, model) > 0) {
-      takeInstances(domain, model, ordered);
-      addWanted(domain, name);
-      left -= 1;
+    const current = domain.active.get(name) ?? 0;
+    while (
+      remaining > 0 &&
+      (domain.wanted.get(name) ?? 0) < current &&
+      countEligible(domain, model) > 0
+    ) {
+      reserveCapacity(domain, model, sortedModels);
+      assignReplica(domain, name);
+      remaining -= 1;
     }
   }
 }
 
-function addWanted(domain: OpenDomain, model: string): void {
+function assignReplica(domain: DomainAllocation, model: string): void {
   domain.wanted.set(model, (domain.wanted.get(model) ?? 0) + 1);
 }
 
-function countFitting(domain: OpenDomain, model: Model): number {
+function countEligible(domain: DomainAllocation, model: Model): number {
   let count = 0;
   for (const group of domain.groups) {
-    if (matchesSelector(model.selector, group.labels)) count += group.left;
+    if (matchesSelector(model.selector, group.labels)) count += group.available;
   }
   return count;
 }
 
-/** Takes up to one replica's instances, from the groups that the fewest models can use. */
-function takeInstances(domain: OpenDomain, model: Model, ordered: readonly NamedModel[]): void {
+/** Reserves up to one replica's instances, from groups eligible for the fewest models first. */
+function reserveCapacity(
+  domain: DomainAllocation,
+  model: Model,
+  sortedModels: readonly NamedModel[],
+): void {
   const groups = domain.groups
-    .filter(({ labels, left }) => left > 0 && matchesSelector(model.selector, labels))
-    .sort((a, b) => countUses(a.labels, ordered) - countUses(b.labels, ordered));
+    .filter(({ labels, available: left }) => left > 0 && matchesSelector(model.selector, labels))
+    .sort(
+      (a, b) =>
+        countEligibleModels(a.labels, sortedModels) - countEligibleModels(b.labels, sortedModels),
+    );
   let needed = model.replicaSize;
   for (const group of groups) {
-    const taken = Math.min(group.left, needed);
-    group.left -= taken;
+    const taken = Math.min(group.available, needed);
+    group.available -= taken;
     needed -= taken;
   }
 }
 
-/** How many models can use an instance with these labels. */
-export function countUses(labels: Labels, models: readonly NamedModel[]): number {
+/** Number of models that an instance with these labels is eligible for. */
+export function countEligibleModels(labels: Labels, models: readonly NamedModel[]): number {
   return models.filter(({ model }) => matchesSelector(model.selector, labels)).length;
 }
--- a/src/controllers/replicas/domains.ts
+++ b/src/controllers/replicas/domains.ts
@@ -1,19 +1,19 @@
 /**
- * The planner's view of the domains, put together from the board.
+ * Builds the planner's view of the fabric domains from the board.
  */
 import type { Fleet, Health } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { DomainPlan } from '../../objects/index.js';
 import { isLeaving } from '../health/gate.js';
 import type { DomainSupply, InstanceGroup } from './demand.js';
-import type { DomainPlace } from './lease.js';
+import type { DomainLocation } from './lease.js';
 import { measureAbsence } from './member-status.js';
 import type { DomainInput, DomainMember } from './types.js';
 
 /** Members of one domain by instance name. */
 export type DomainMembers = ReadonlyMap<string, DomainMember>;
 
-/** The engine instances of the fleet by fabric domain. One without a domain is one of its own. */
+/** Groups engine instances by fabric domain; an instance without one forms its own domain. */
 export function groupDomains(fleet: Fleet, health: Health): ReadonlyMap<string, DomainMembers> {
   const domains = new Map<string, Map<string, DomainMember>>();
   for (const [name, instance] of fleet.instances) {
@@ -28,8 +28,10 @@
 }
 
 /**
- * What `domain` can hold. Of a domain of which nothing is heard, while its owner renews the lease,
- * only this entry is cut off: what its plan has in service is taken to serve.
+ * The capacity and replicas of `domain`.
+ *
+ * If no instance is reachable but the owner still renews its lease, only this entry is partitioned
+ * from the domain, and the replicas that the plan lists as whole are assumed to serve.
  */
 export function describeSupply(
   domain: string,
@@ -40,9 +42,9 @@
   now: Milliseconds,
 ): DomainSupply {
   const replicas = plan?.replicas ?? [];
-  const heard = [...members.values()].filter((member) => isSupply(member, timing, now));
-  if (heard.length > 0 || !isOwnerLive) {
-    return { name: domain, replicas, groups: groupByLabels(heard) };
+  const available = [...members.values()].filter((member) => isAvailable(member, timing, now));
+  if (available.length > 0 || !isOwnerLive) {
+    return { name: domain, replicas, groups: groupByLabels(available) };
   }
   const whole = replicas.filter(({ phase }) => phase === 'whole');
   const serving = whole
@@ -51,8 +53,8 @@
   return { name: domain, replicas: whole, groups: groupByLabels(serving) };
 }
 
-/** Where most of the domain's engines are; the first by name when equal. */
-export function locateDomain(domain: string, members: DomainMembers): DomainPlace {
+/** The location of most of the domain's engines; ties are broken by name. */
+export function locateDomain(domain: string, members: DomainMembers): DomainLocation {
   const counts = new Map<string, { count: number; region: string; failureDomain: string }>();
   for (const { instance } of members.values()) {
     const { region, failureDomain } = instance;
@@ -60,14 +62,14 @@
     const count = (counts.get(key)?.count ?? 0) + 1;
     counts.set(key, { count, region, failureDomain });
   }
-  const ordered = [...counts].sort(
+  const byCount = [...counts].sort(
     ([a, { count: countA }], [b, { count: countB }]) => countB - countA || (a < b ? -1 : 1),
   );
-  const place = ordered[0]?.[1];
-  return { domain, region: place?.region, failureDomain: place?.failureDomain ?? '' };
+  const location = byCount[0]?.[1];
+  return { domain, region: location?.region, failureDomain: location?.failureDomain ?? '' };
 }
 
-function isSupply(
+function isAvailable(
   member: DomainMember,
   timing: Pick<DomainInput, 'estimates' | 'watchingSince'>,
   now: Milliseconds,
--- a/src/controllers/replicas/donors.ts
+++ b/src/controllers/replicas/donors.ts
@@ -1,114 +1,116 @@
 /**
- * Replicas whose members would serve better in another.
+ * Selects replicas to preempt so that their members can be used for another replica.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import { matchesSelector } from '../../core/labels/index.js';
 import type { Model, Replica } from '../../objects/index.js';
-import { isActive, type Draft } from './plan-draft.js';
-import { judgeStanding } from './member-status.js';
+import { isActive, type PlanDraft } from './plan-draft.js';
+import { getMemberStatus } from './member-status.js';
 import type { DomainInput } from './types.js';
-import { rateDowntime } from './loss-costs.js';
+import { calculateDowntimeRate } from './loss-costs.js';
 
-/** What is asked of donors. */
+/** Instances that a replica of `model` needs from others. */
 export interface DonorRequest {
   model: Model;
-  /** Instances that are missing. */
-  needed: number;
-  /** How long the donors are expected to be missed; their order of cost depends on it. */
-  missedMs: Milliseconds;
-  /** The replica that is to be completed, which is no donor of its own. */
-  exclude?: string;
+  neededInstances: number;
+  /** Expected time until lost instances return, for which donors stay down. */
+  expectedReturnMs: Milliseconds;
+  /** The replica to repair, which cannot be its own donor. */
+  excludedReplica?: string;
 }
 
 interface Donor {
   replica: Replica;
-  useful: number;
+  usableMembers: number;
   cost: number;
-  missedRate: number;
+  downtimeRate: number;
 }
 
-/** Replicas to take apart, and what that costs altogether. */
+/** Replicas to preempt, with their total cost. */
 export interface DonorChoice {
   donors: readonly Replica[];
-  /** Once. */
+  /** One-time cost. */
   cost: number;
-  /** For each millisecond until instances are back. */
-  missedRate: number;
+  /** Cost per millisecond until lost instances return. */
+  downtimeRate: number;
 }
 
 /**
- * The cheapest replicas that together give what is needed; undefined when all do not suffice.
+ * The cheapest replicas that together provide the needed instances; undefined if there are too few.
  *
- * A donor is less important, or it lacks a member itself and is not more important: of two replicas
- * that lack one member each, one can be made whole with the members of the other.
+ * A donor must be less important. If it lacks a member itself, equal importance is enough: of two
+ * incomplete replicas, one can be completed with the members of the other.
  */
 export function chooseDonors(
   input: DomainInput,
-  draft: Draft,
+  draft: PlanDraft,
   request: DonorRequest,
   now: Milliseconds,
 ): DonorChoice | undefined {
   const donors = listDonors(input, draft, request, now);
-  const sum = (donor: Donor): number => donor.cost + donor.missedRate * request.missedMs;
-  donors.sort((a, b) => sum(a) - sum(b) || b.replica.fence - a.replica.fence);
+  const totalCost = (donor: Donor): number =>
+    donor.cost + donor.downtimeRate * request.expectedReturnMs;
+  donors.sort((a, b) => totalCost(a) - totalCost(b) || b.replica.fence - a.replica.fence);
   const chosen: Replica[] = [];
-  let left = request.needed;
+  let missing = request.neededInstances;
   let cost = 0;
-  let missedRate = 0;
+  let downtimeRate = 0;
   for (const donor of donors) {
-    if (left <= 0) break;
+    if (missing <= 0) break;
     chosen.push(donor.replica);
-    left -= donor.useful;
+    missing -= donor.usableMembers;
     cost += donor.cost;
-    missedRate += donor.missedRate;
+    downtimeRate += donor.downtimeRate;
   }
-  return left <= 0 ? { donors: chosen, cost, missedRate } : undefined;
+  return missing <= 0 ? { donors: chosen, cost, downtimeRate } : undefined;
 }
 
 /**
- * A whole donor is down until instances are back, and the members that it does not give are idle
- * for that time. One that lacks a member is down anyway and loses its chance to go on as it is.
+ * A complete donor is down until lost instances return, and its unused members idle meanwhile. An
+ * incomplete donor is down already; preempting it only adds the time to form it anew.
  */
 function listDonors(
   input: DomainInput,
-  draft: Draft,
+  draft: PlanDraft,
   request: DonorRequest,
   now: Milliseconds,
 ): Donor[] {
   const donors: Donor[] = [];
   for (const replica of draft.replicas) {
-    if (!isActive(replica) || replica.id === request.exclude) continue;
-    const other = input.models.get(replica.model);
-    if (other === undefined) continue;
-    const isBroken = isLackingMember(input, replica, now);
-    const margin = request.model.importance - other.importance;
-    const useful = countUseful(input, replica, request.model, now);
-    if (useful === 0 || (isBroken ? margin < 0 : margin <= 0)) continue;
-    const given = Math.min(useful, request.needed);
+    if (!isActive(replica) || replica.id === request.excludedReplica) continue;
+    const donorModel = input.models.get(replica.model);
+    if (donorModel === undefined) continue;
+    const isIncomplete = hasLostMember(input, replica, now);
+    const importanceGap = request.model.importance - donorModel.importance;
+    const usableMembers = countUsableMembers(input, replica, request.model, now);
+    if (usableMembers === 0 || (isIncomplete ? importanceGap < 0 : importanceGap <= 0)) continue;
+    const taken = Math.min(usableMembers, request.neededInstances);
     const { objective, estimates } = input;
-    const cost = isBroken ? rateDowntime(objective, other, 0) * estimates.formMs : 0;
-    const idle = replica.members.length - given;
-    const missedRate = isBroken ? 0 : rateDowntime(objective, other, idle);
-    donors.push({ replica, useful, cost, missedRate });
+    const cost = isIncomplete
+      ? calculateDowntimeRate(objective, donorModel, 0) * estimates.formMs
+      : 0;
+    const idle = replica.members.length - taken;
+    const downtimeRate = isIncomplete ? 0 : calculateDowntimeRate(objective, donorModel, idle);
+    donors.push({ replica, usableMembers, cost, downtimeRate });
   }
   return donors;
 }
 
-function isLackingMember(input: DomainInput, replica: Replica, now: Milliseconds): boolean {
+function hasLostMember(input: DomainInput, replica: Replica, now: Milliseconds): boolean {
   return replica.members.some((_, rank) => {
-    const standing = judgeStanding(input, replica, rank, now);
-    return standing.kind === 'absent' && standing.forMs >= input.estimates.lossMs;
+    const status = getMemberStatus(input, replica, rank, now);
+    return status.kind === 'absent' && status.absentMs >= input.estimates.lossMs;
   });
 }
 
-function countUseful(
+function countUsableMembers(
   input: DomainInput,
   replica: Replica,
   model: Model,
   now: Milliseconds,
 ): number {
   return replica.members.filter(({ instance }, rank) => {
-    const { kind } = judgeStanding(input, replica, rank, now);
+    const { kind } = getMemberStatus(input, replica, rank, now);
     const labels = input.members.get(instance)?.instance.labels;
     if (labels === undefined || !matchesSelector(model.selector, labels)) return false;
     return kind === 'inPlace' || kind === 'unformed';
--- a/src/controllers/replicas/form-replicas.ts
+++ b/src/controllers/replicas/form-replicas.ts
@@ -1,29 +1,39 @@
 /**
- * New replicas from free instances, surplus ones given back, and members taken from replicas of
- * less importance.
+ * Forms replicas from free instances, retires surplus replicas and preempts less important ones.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import { matchesSelector } from '../../core/labels/index.js';
 import type { Model, Replica } from '../../objects/index.js';
-import { compareText, countUses, sortModels, type NamedModel } from './demand.js';
-import { isActive, nextFence, retireReplica, type Draft } from './plan-draft.js';
-import { listFree } from './free-instances.js';
-import { scoreLosses } from './loss-history.js';
+import {
+  compareCodeUnits,
+  countEligibleModels,
+  sortByImportance,
+  type NamedModel,
+} from './demand.js';
+import { isActive, nextFence, retireReplica, type PlanDraft } from './plan-draft.js';
+import { listFreeInstances } from './free-instances.js';
+import { getLossScore } from './loss-history.js';
 import { chooseDonors } from './donors.js';
 import type { DomainInput } from './types.js';
-import { chooseSpares, estimateReplace, estimateReturn, rateDowntime } from './loss-costs.js';
+import {
+  chooseSpareCount,
+  estimateReplacementMs,
+  estimateReturnMs,
+  calculateDowntimeRate,
+} from './loss-costs.js';
 
-/** Free instances, each with what speaks against taking it first. */
-interface Pool {
+/** Instance names available for new replicas. */
+interface InstancePool {
+  /** Sorted by preference. */
   free: string[];
-  /** Healthy ones that are about to be free. */
+  /** Healthy instances whose replica is draining or released. */
   pending: string[];
 }
 
-/** Retires replicas beyond this domain's share: not whole ones first, then the youngest. */
-export function retireSurplus(input: DomainInput, draft: Draft, now: Milliseconds): void {
-  for (const { name } of sortModels(input.models)) {
-    const active = listActive(draft, name);
+/** Retires replicas beyond this domain's share: those that are not whole first, then the newest. */
+export function retireSurplus(input: DomainInput, draft: PlanDraft, now: Milliseconds): void {
+  for (const { name } of sortByImportance(input.models)) {
+    const active = listActiveReplicas(draft, name);
     const surplus = active.length - (input.wanted.get(name) ?? 0);
     if (surplus <= 0) continue;
     const worstFirst = active.sort(
@@ -35,52 +45,57 @@
   }
 }
 
-/** Forms what is wanted and can be formed, by importance; then weighs taking members away. */
-export function formReplicas(input: DomainInput, draft: Draft, now: Milliseconds): void {
-  const models = sortModels(input.models);
-  const pool = openPool(input, draft, models, now);
+/** Forms the missing replicas by importance; preempts less important ones where that pays off. */
+export function formReplicas(input: DomainInput, draft: PlanDraft, now: Milliseconds): void {
+  const models = sortByImportance(input.models);
+  const pool = createInstancePool(input, draft, models, now);
   for (const { name, model } of models) {
-    let missing = (input.wanted.get(name) ?? 0) - listActive(draft, name).length;
+    let missing = (input.wanted.get(name) ?? 0) - listActiveReplicas(draft, name).length;
     while (missing > 0 && formReplica(input, draft, pool, name, model)) missing -= 1;
     if (missing <= 0) continue;
-    const isComing = reservePool(input, pool, model);
-    if (!isComing) preemptFor(input, draft, pool, { name, model }, now);
+    const isReserved = reserveInstances(input, pool, model);
+    if (!isReserved) preemptReplicas(input, draft, pool, { name, model }, now);
   }
-  draft.spares = pool.free.filter((name) => !isHeld(draft, name)).sort(compareText);
+  draft.spares = pool.free.filter((name) => !isAssigned(draft, name)).sort(compareCodeUnits);
 }
 
-/** The steadiest instances first, then those that the fewest models can use. */
-function openPool(
+/** Prefers instances with few recent losses, then those eligible for the fewest models. */
+function createInstancePool(
   input: DomainInput,
-  draft: Draft,
+  draft: PlanDraft,
   models: readonly NamedModel[],
   now: Milliseconds,
-): Pool {
-  const { free, pending } = listFree(input, draft, now);
-  const ranked = free.map((name) => ({
+): InstancePool {
+  const { free, pending } = listFreeInstances(input, draft, now);
+  const candidates = free.map((name) => ({
     name,
-    losses: Math.round(scoreLosses(input.history, input.estimates, name, now)),
-    uses: countUses(input.members.get(name)?.instance.labels ?? {}, models),
+    lossScore: Math.round(getLossScore(input.history, input.estimates, name, now)),
+    eligibleModels: countEligibleModels(input.members.get(name)?.instance.labels ?? {}, models),
   }));
-  ranked.sort((a, b) => a.losses - b.losses || a.uses - b.uses || compareText(a.name, b.name));
-  return { free: ranked.map(({ name }) => name), pending: [...pending] };
+  candidates.sort(
+    (a, b) =>
+      a.lossScore - b.lossScore ||
+      a.eligibleModels - b.eligibleModels ||
+      compareCodeUnits(a.name, b.name),
+  );
+  return { free: candidates.map(({ name }) => name), pending: [...pending] };
 }
 
 function formReplica(
   input: DomainInput,
-  draft: Draft,
-  pool: Pool,
+  draft: PlanDraft,
+  pool: InstancePool,
   name: string,
   model: Model,
 ): boolean {
-  const chosen = pool.free.filter((instance) => fits(input, instance, model));
+  const eligible = pool.free.filter((instance) => isEligible(input, instance, model));
   const size = model.replicaSize;
-  if (chosen.length < size + countReserved(input, draft, model)) return false;
-  const members = chosen.slice(0, size).map((instance) => ({
+  if (eligible.length < size + countSparesToKeep(input, draft, model)) return false;
+  const members = eligible.slice(0, size).map((instance) => ({
     instance,
     incarnation: input.members.get(instance)?.health?.report?.incarnation ?? '',
   }));
-  const taken = new Set(chosen.slice(0, size));
+  const taken = new Set(eligible.slice(0, size));
   pool.free = pool.free.filter((instance) => !taken.has(instance));
   const fence = nextFence(draft);
   const id = `${input.domain}-${fence}`;
@@ -97,24 +112,25 @@
   return true;
 }
 
-/** Spares that are worth more than one more replica of `model`. */
-function countReserved(input: DomainInput, draft: Draft, model: Model): number {
-  const served = draft.replicas
+/** Number of spares worth more than another replica of `model`. */
+function countSparesToKeep(input: DomainInput, draft: PlanDraft, model: Model): number {
+  const protectedModels = draft.replicas
     .filter(isActive)
     .map((replica) => input.models.get(replica.model))
     .filter((other) => other !== undefined)
     .filter((other) => other.importance > model.importance);
-  return chooseSpares(input.objective, input.estimates, served, model);
+  return chooseSpareCount(input.objective, input.estimates, protectedModels, model);
 }
 
 /**
- * Holds the free instances back for `model` when those that are about to be free will complete it.
- * Without this, a less important model with small replicas takes them one by one, and the more
- * important one is never formed again.
+ * Reserves instances for `model` if free and pending ones together suffice for a replica.
+ *
+ * Prevents starvation: less important models with smaller replicas would otherwise claim the
+ * instances one by one.
  */
-function reservePool(input: DomainInput, pool: Pool, model: Model): boolean {
-  const free = pool.free.filter((name) => fits(input, name, model));
-  const pending = pool.pending.filter((name) => fits(input, name, model));
+function reserveInstances(input: DomainInput, pool: InstancePool, model: Model): boolean {
+  const free = pool.free.filter((name) => isEligible(input, name, model));
+  const pending = pool.pending.filter((name) => isEligible(input, name, model));
   if (free.length + pending.length < model.replicaSize) return false;
   const reserved = new Set([...pending, ...free].slice(0, model.replicaSize));
   pool.free = pool.free.filter((name) => !reserved.has(name));
@@ -122,38 +138,44 @@
   return true;
 }
 
-/** Takes the members of less important replicas when that costs less than staying short. */
-function preemptFor(
+/** Preempts less important replicas if that costs less than waiting for instances to return. */
+function preemptReplicas(
   input: DomainInput,
-  draft: Draft,
-  pool: Pool,
+  draft: PlanDraft,
+  pool: InstancePool,
   { name, model }: NamedModel,
   now: Milliseconds,
 ): void {
   const { objective, estimates } = input;
-  const missedMs = estimateReturn(estimates, 0);
-  const atHand = [...pool.free, ...pool.pending].filter((one) => fits(input, one, model)).length;
-  const needed = model.replicaSize - atHand;
-  const choice = chooseDonors(input, draft, { model, needed, missedMs }, now);
+  const expectedReturnMs = estimateReturnMs(estimates, 0);
+  const available = [...pool.free, ...pool.pending].filter((instance) =>
+    isEligible(input, instance, model),
+  ).length;
+  const neededInstances = model.replicaSize - available;
+  const choice = chooseDonors(input, draft, { model, neededInstances, expectedReturnMs }, now);
   if (choice === undefined) return;
-  const rate = rateDowntime(objective, model, 0);
-  const donorCost = choice.cost + choice.missedRate * missedMs;
-  if (rate * missedMs <= rate * estimateReplace(estimates) + donorCost) return;
+  const downtimeRate = calculateDowntimeRate(objective, model, 0);
+  const donorCost = choice.cost + choice.downtimeRate * expectedReturnMs;
+  if (
+    downtimeRate * expectedReturnMs <=
+    downtimeRate * estimateReplacementMs(estimates) + donorCost
+  )
+    return;
   for (const donor of choice.donors) {
     retireReplica(input, draft, donor, { kind: 'preempted', beneficiary: name }, now);
   }
-  pool.free = pool.free.filter((one) => !fits(input, one, model));
+  pool.free = pool.free.filter((instance) => !isEligible(input, instance, model));
 }
 
-function fits(input: DomainInput, name: string, model: Model): boolean {
+function isEligible(input: DomainInput, name: string, model: Model): boolean {
   const labels = input.members.get(name)?.instance.labels;
   return labels !== undefined && matchesSelector(model.selector, labels);
 }
 
-function listActive(draft: Draft, model: string): Replica[] {
+function listActiveReplicas(draft: PlanDraft, model: string): Replica[] {
   return draft.replicas.filter((replica) => replica.model === model && isActive(replica));
 }
 
-function isHeld(draft: Draft, name: string): boolean {
+function isAssigned(draft: PlanDraft, name: string): boolean {
   return draft.replicas.some(({ members }) => members.some(({ instance }) => instance === name));
 }
--- a/src/controllers/replicas/free-instances.ts
+++ b/src/controllers/replicas/free-instances.ts
@@ -1,40 +1,44 @@
 /**
- * Which instances of the domain may go into a new replica now, and which soon.
+ * Finds the instances of the domain that are available for a new replica, now or soon.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
-import type { Draft } from './plan-draft.js';
+import type { PlanDraft } from './plan-draft.js';
 import { isFlapping } from './loss-history.js';
-import { isUsable, measureAbsence } from './member-status.js';
+import { isAssignable, measureAbsence } from './member-status.js';
 import type { DomainInput } from './types.js';
 
 /** Names of instances. */
 export interface FreeInstances {
-  /** In no replica of the plan, released ones included, and idle by their own word. */
+  /** In no replica of the plan, released ones included, and reporting idle. */
   free: readonly string[];
-  /** Healthy, and members of a replica that is draining or released: free before long. */
+  /** Healthy members of a draining or released replica. */
   pending: readonly string[];
 }
 
-/** The free instances of the domain under the draft; those that flap are left out. */
-export function listFree(input: DomainInput, draft: Draft, now: Milliseconds): FreeInstances {
-  const held = new Set<string>();
+/** Lists the free instances of the domain under the draft, except flapping ones. */
+export function listFreeInstances(
+  input: DomainInput,
+  draft: PlanDraft,
+  now: Milliseconds,
+): FreeInstances {
+  const assigned = new Set<string>();
   const pending: string[] = [];
   for (const { members, phase } of draft.replicas) {
     for (const { instance } of members) {
-      held.add(instance);
+      assigned.add(instance);
       if (phase !== 'released' && phase !== 'draining') continue;
-      if (isComing(input, instance, now)) pending.push(instance);
+      if (isReusable(input, instance, now)) pending.push(instance);
     }
   }
   const free: string[] = [];
   for (const [name, member] of input.members) {
-    if (held.has(name) || !isUsable(input, member, now)) continue;
+    if (assigned.has(name) || !isAssignable(input, member, now)) continue;
     if (!isFlapping(input.history, input.estimates, name, now)) free.push(name);
   }
   return { free, pending };
 }
 
-function isComing(input: DomainInput, name: string, now: Milliseconds): boolean {
+function isReusable(input: DomainInput, name: string, now: Milliseconds): boolean {
   const member = input.members.get(name);
   if (
     member === undefined ||
--- a/src/controllers/replicas/loss-costs.ts
+++ b/src/controllers/replicas/loss-costs.ts
@@ -1,60 +1,61 @@
 /**
- * What a loss costs under each way to treat it, by the objective's two measures.
+ * Cost model for handling lost instances.
  *
- * A cost is a rate times a time. The rate of a replica that does not serve is the weight of group
- * downtime times the model's importance, plus the weight of stranded accelerators for each healthy
- * member that sits idle in it. So the installation's weights decide between ways that trade one
- * measure for the other.
+ * A cost is a rate multiplied by a duration. The rate of a replica that does not serve is the weight
+ * of group downtime scaled by the model's importance, plus the weight of stranded accelerators for
+ * each idle healthy member. The weights come from the policy's objective.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Model, Policy } from '../../objects/index.js';
 import type { Estimates, LossClass } from './types.js';
 
-/** Importance at which group downtime counts with its bare weight. */
-const USUAL_IMPORTANCE = 50;
+/** Importance at which the weight of group downtime is applied unscaled. */
+const REFERENCE_IMPORTANCE = 50;
 
-/** Cost for each millisecond that a replica of `model` does not serve with `idle` healthy members. */
-export function rateDowntime(
+/** Cost per millisecond of a replica of `model` that does not serve and has `idle` healthy members. */
+export function calculateDowntimeRate(
   objective: Policy['objective'],
   model: Pick<Model, 'importance'>,
   idle: number,
 ): number {
-  const downtime = objective.groupDowntime * (model.importance / USUAL_IMPORTANCE);
+  const downtime = objective.groupDowntime * (model.importance / REFERENCE_IMPORTANCE);
   return downtime + objective.strandedAccelerators * idle;
 }
 
 /**
- * The classes of loss with their shares after an absence of `forMs`: the longer it lasts, the less
- * likely it is one of the short ones.
+ * The posterior shares of the loss classes after an absence of `absentMs`: the longer it lasts, the
+ * less likely the short classes become.
  */
-export function updateClasses(estimates: Estimates, forMs: Milliseconds): LossClass[] {
-  const still = estimates.lossClasses.map(({ share, meanMs }) => share * Math.exp(-forMs / meanMs));
-  const total = still.reduce((sum, share) => sum + share, 0);
-  return estimates.lossClasses.map((loss, at) => {
-    const share = total === 0 ? loss.share : (still[at] ?? 0) / total;
+export function getPosteriorLossClasses(estimates: Estimates, absentMs: Milliseconds): LossClass[] {
+  const unnormalizedShares = estimates.lossClasses.map(
+    ({ share, meanMs }) => share * Math.exp(-absentMs / meanMs),
+  );
+  const total = unnormalizedShares.reduce((sum, share) => sum + share, 0);
+  return estimates.lossClasses.map((loss, index) => {
+    const share = total === 0 ? loss.share : (unnormalizedShares[index] ?? 0) / total;
     return { ...loss, share };
   });
 }
 
-/** The mean time until an instance that has been away for `forMs` is back. */
-export function estimateReturn(estimates: Estimates, forMs: Milliseconds): Milliseconds {
-  const classes = updateClasses(estimates, forMs);
+/** Expected time until an instance returns that has been absent for `absentMs`. */
+export function estimateReturnMs(estimates: Estimates, absentMs: Milliseconds): Milliseconds {
+  const classes = getPosteriorLossClasses(estimates, absentMs);
   return classes.reduce((sum, { share, meanMs }) => sum + share * meanMs, 0);
 }
 
-/** What a replica pays for each way to get over a loss. */
+/** Costs of a loss for the affected replica. */
 export interface LossCosts {
-  /** For each millisecond that the replica does not serve. */
-  rate: number;
-  /** Of replacing the member, at whatever time. */
-  replaceCost: number;
-  /** For each millisecond until the lost member is back, once it is replaced. */
-  missedRate: number;
-  /** Decayed count of the member's earlier losses. */
-  earlierLosses: number;
+  /** Per millisecond that the replica does not serve. */
+  downtimeRate: number;
+  /** One-time cost of replacing the member. */
+  replacementCost: number;
+  /** Per millisecond from the replacement until the lost member returns. */
+  donorDowntimeRate: number;
+  /** Decayed number of earlier losses of the member. */
+  priorLosses: number;
 }
 
-/** How much longer to wait before the member is replaced, and what that costs. */
+/** How long to wait before replacing the member, with the expected cost. */
 export interface WaitChoice {
   waitMs: Milliseconds;
   cost: number;
@@ -62,77 +63,80 @@
 
 const SECOND_MS = 1_000;
 
-/** The spans that are compared; the last stands for waiting without end. */
+/** Candidate wait times; the last one means never replacing the member. */
 const WAIT_CHOICES_MS: readonly Milliseconds[] = [0, 5, 15, 30, 60, 120, 300, 900, 3_600]
   .map((seconds) => seconds * SECOND_MS)
   .concat(Number.POSITIVE_INFINITY);
 
 /**
- * The cheapest time to wait for a member that has been away for `forMs` before it is replaced.
+ * Chooses the wait time with the lowest expected cost before replacing a member that has been absent
+ * for `absentMs`.
  *
- * Most losses are short and a few are very long, so the mean says little: waiting a while shows
- * which kind it is. A replica whose member comes back as the same process serves at once; after any
- * other return it has to be formed anew. A member that has come and gone before will go again: each
- * earlier loss makes its return worth that much less.
+ * Most losses are short and a few very long, so the wait is weighed per loss class instead of by the
+ * mean. If the same process returns, the replica serves immediately; otherwise it must be formed
+ * anew. Each earlier loss reduces the value of a return, since the member is likely to fail again.
  *
- * @example chooseWait(estimates, forMs, costs).waitMs === 0 // replace now
+ * @example chooseWait(estimates, absentMs, costs).waitMs === 0 // replace now
  */
 export function chooseWait(
   estimates: Estimates,
-  forMs: Milliseconds,
+  absentMs: Milliseconds,
   costs: LossCosts,
 ): WaitChoice {
-  const classes = updateClasses(estimates, forMs);
+  const classes = getPosteriorLossClasses(estimates, absentMs);
   const choices = WAIT_CHOICES_MS.map((waitMs) => ({
     waitMs,
-    cost: estimateCost(estimates, classes, costs, waitMs),
+    cost: estimateWaitCost(estimates, classes, costs, waitMs),
   }));
   return choices.reduce((best, choice) => (choice.cost < best.cost ? choice : best));
 }
 
-function estimateCost(
+function estimateWaitCost(
   estimates: Estimates,
   classes: readonly LossClass[],
-  { rate, replaceCost, missedRate, earlierLosses }: LossCosts,
+  { downtimeRate, replacementCost, donorDowntimeRate, priorLosses }: LossCosts,
   waitMs: Milliseconds,
 ): number {
   let cost = 0;
   for (const { share, meanMs, keepsState } of classes) {
-    const backInTime = 1 - Math.exp(-waitMs / meanMs);
-    const waitedMs = meanMs * backInTime;
+    const returnProbability = 1 - Math.exp(-waitMs / meanMs);
+    const expectedWaitMs = meanMs * returnProbability;
     const formMs = keepsState ? 0 : estimates.formMs;
-    const laterMs = earlierLosses * (meanMs + formMs);
-    const backCost = rate * (formMs + laterMs);
-    const lateCost = replaceCost + missedRate * (meanMs + estimates.formMs);
-    cost += share * (rate * waitedMs + backInTime * backCost + (1 - backInTime) * lateCost);
+    const futureDowntimeMs = priorLosses * (meanMs + formMs);
+    const returnCost = downtimeRate * (formMs + futureDowntimeMs);
+    const timeoutCost = replacementCost + donorDowntimeRate * (meanMs + estimates.formMs);
+    cost +=
+      share *
+      (downtimeRate * expectedWaitMs +
+        returnProbability * returnCost +
+        (1 - returnProbability) * timeoutCost);
   }
   return cost;
 }
 
-/** The time to take a replica apart and form it with free instances. */
-export function estimateReplace(estimates: Estimates): Milliseconds {
+/** Time to release a replica and form it again from free instances. */
+export function estimateReplacementMs(estimates: Estimates): Milliseconds {
   return estimates.releaseMs + estimates.formMs;
 }
 
 /**
- * How many instances to keep free in a domain of `instances` rather than form one more replica.
+ * The number of instances to keep as spares instead of forming a replica of `forgoneModel`.
  *
- * A spare turns the wait for a lost member into the time to form a replica. It is worth that
- * difference times the losses to be expected while it stands by, and costs all that the replica
- * which is not formed would have served.
+ * A spare shortens the downtime after a loss from the return time to the time to form a replica. The
+ * savings at the expected loss rate are compared with the cost of not serving the forgone replica.
  */
-export function chooseSpares(
+export function chooseSpareCount(
   objective: Policy['objective'],
   estimates: Estimates,
   protectedReplicas: readonly Pick<Model, 'importance' | 'replicaSize'>[],
-  forgone: Pick<Model, 'importance' | 'replicaSize'>,
+  forgoneModel: Pick<Model, 'importance' | 'replicaSize'>,
 ): number {
-  const savedMs = Math.max(0, estimateReturn(estimates, 0) - estimates.releaseMs);
-  let saved = 0;
+  const savedMs = Math.max(0, estimateReturnMs(estimates, 0) - estimates.releaseMs);
+  let savings = 0;
   for (const model of protectedReplicas) {
-    const lossesPerMs = model.replicaSize / estimates.lossEveryMs;
-    saved += lossesPerMs * savedMs * rateDowntime(objective, model, model.replicaSize - 1);
+    const lossRate = model.replicaSize / estimates.meanTimeBetweenLossesMs;
+    savings += lossRate * savedMs * calculateDowntimeRate(objective, model, model.replicaSize - 1);
   }
-  const cost = rateDowntime(objective, forgone, forgone.replicaSize);
-  return saved > cost ? 1 : 0;
+  const cost = calculateDowntimeRate(objective, forgoneModel, forgoneModel.replicaSize);
+  return savings > cost ? 1 : 0;
 }
--- a/src/controllers/replicas/loss-history.ts
+++ b/src/controllers/replicas/loss-history.ts
@@ -1,13 +1,13 @@
 /**
- * The memory of losses: an instance that comes and goes is charged for it.
+ * Loss history of instances, with an exponentially decaying score to detect flapping.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import { measureAbsence } from './member-status.js';
 import type { DomainInput, DomainMember, Estimates, LossHistory, LossRecord } from './types.js';
 
 /**
- * The history after a look at all members. A loss is counted once: when the instance has been
- * unheard for too long, or when it reports another start before that was noticed.
+ * Updates the history from the current health of all members. A loss counts once: when the instance
+ * exceeds the loss timeout, or when it reports a new incarnation before the timeout.
  */
 export function updateHistory(
   input: Pick<DomainInput, 'members' | 'history' | 'estimates' | 'watchingSince'>,
@@ -20,8 +20,8 @@
   return next;
 }
 
-/** The losses of `name`, decayed until `now`. */
-export function scoreLosses(
+/** The loss score of `name`, decayed until `now`. */
+export function getLossScore(
   history: LossHistory,
   estimates: Estimates,
   name: string,
@@ -32,8 +32,8 @@
 }
 
 /**
- * Whether `name` comes and goes so fast that a replica with it would hardly serve between two
- * losses. One that lasts longer is taken, after all steady ones: some service is better than none.
+ * Whether `name` is lost so often that a replica with it would hardly serve between two losses.
+ * Less frequent losses only lower its preference.
  */
 export function isFlapping(
   history: LossHistory,
@@ -41,27 +41,28 @@
   name: string,
   now: Milliseconds,
 ): boolean {
-  const score = scoreLosses(history, estimates, name, now);
-  const lossEveryMs = estimates.flapHalfLifeMs / (score * Math.LN2);
-  return lossEveryMs < estimates.formMs * MIN_SERVICE_RATIO;
+  const score = getLossScore(history, estimates, name, now);
+  const meanTimeBetweenLossesMs = estimates.flapHalfLifeMs / (score * Math.LN2);
+  return meanTimeBetweenLossesMs < estimates.formMs * MIN_LOSS_INTERVAL_RATIO;
 }
 
-/** Time between two losses, in times to form a replica, from which an instance is worth using. */
-const MIN_SERVICE_RATIO = 2;
+/** Minimum mean time between losses of a usable instance, as a multiple of the forming time. */
+const MIN_LOSS_INTERVAL_RATIO = 2;
 
 function updateRecord(
   input: Pick<DomainInput, 'estimates' | 'watchingSince'>,
   member: DomainMember,
-  before: LossRecord | undefined,
+  previous: LossRecord | undefined,
   now: Milliseconds,
 ): LossRecord {
   const isLost = measureAbsence(input, member, now) >= input.estimates.lossMs;
-  const incarnation = member.health?.report?.incarnation ?? before?.incarnation;
-  if (before === undefined) return createRecord(isLost, incarnation, now);
-  const isNewStart = before.incarnation !== undefined && incarnation !== before.incarnation;
-  const isNewLoss = !before.lost && (isLost || isNewStart);
-  if (!isNewLoss && before.lost === isLost && before.incarnation === incarnation) return before;
-  const score = decayScore(before, input.estimates, now) + (isNewLoss ? 1 : 0);
+  const incarnation = member.health?.report?.incarnation ?? previous?.incarnation;
+  if (previous === undefined) return createRecord(isLost, incarnation, now);
+  const hasRestarted = previous.incarnation !== undefined && incarnation !== previous.incarnation;
+  const isNewLoss = !previous.lost && (isLost || hasRestarted);
+  if (!isNewLoss && previous.lost === isLost && previous.incarnation === incarnation)
+    return previous;
+  const score = decayScore(previous, input.estimates, now) + (isNewLoss ? 1 : 0);
   return { ...createRecord(isLost, incarnation, now), score };
 }
 
@@ -70,10 +71,10 @@
   incarnation: string | undefined,
   now: Milliseconds,
 ): LossRecord {
-  const record = { score: 0, at: now, lost };
+  const record = { score: 0, updatedAt: now, lost };
   return incarnation === undefined ? record : { ...record, incarnation };
 }
 
 function decayScore(record: LossRecord, estimates: Estimates, now: Milliseconds): number {
-  return record.score * 2 ** ((record.at - now) / estimates.flapHalfLifeMs);
+  return record.score * 2 ** ((record.updatedAt - now) / estimates.flapHalfLifeMs);
 }
--- a/src/controllers/replicas/member-status.ts
+++ b/src/controllers/replicas/member-status.ts
@@ -1,5 +1,5 @@
 /**
- * What the planner believes of one member of a replica.
+ * Status of a replica member as seen by the planner.
  */
 import type { EngineReport } from '../../adapters/engines/protocol.js';
 import type { Milliseconds } from '../../core/clock/index.js';
@@ -7,52 +7,52 @@
 import { reportsPlace } from '../health/gate.js';
 import type { DomainInput, DomainMember } from './types.js';
 
-/** A member against its place in the plan. */
-export type Standing =
-  /** In its place; `ready` when it has loaded. */
+/** Status of a member relative to its assignment in the plan. */
+export type MemberStatus =
+  /** Holds its rank in the replica; `ready` once loaded. */
   | { kind: 'inPlace'; ready: boolean }
-  /** The planned process, not in its place: it still needs the order to form. */
+  /** The planned process, but it does not hold its rank and needs a form order. */
   | { kind: 'unformed' }
   | { kind: 'leaving' }
-  /** Unheard for `forMs`; too short to count as lost when below the bound. */
-  | { kind: 'absent'; forMs: Milliseconds }
-  /** Another start of the instance: what it held is gone. */
+  /** Not heard from for `absentMs`; lost once this reaches the loss timeout. */
+  | { kind: 'absent'; absentMs: Milliseconds }
+  /** The instance restarted and lost its state. */
   | { kind: 'restarted' }
-  /** It obeys a later number or another replica of a later number. */
+  /** Has seen a later fencing token and no longer holds its rank. */
   | { kind: 'moved' }
-  /** No longer in the platform's list. */
+  /** No longer listed by the platform. */
   | { kind: 'gone' };
 
-/** The standing of rank `rank` of `replica`. */
-export function judgeStanding(
+/** The status of the member at `rank` of `replica`. */
+export function getMemberStatus(
   input: DomainInput,
   replica: Replica,
   rank: number,
   now: Milliseconds,
-): Standing {
+): MemberStatus {
   const planned = replica.members[rank];
   const member = planned === undefined ? undefined : input.members.get(planned.instance);
   if (planned === undefined || member === undefined) return { kind: 'gone' };
-  const forMs = measureAbsence(input, member, now);
+  const absentMs = measureAbsence(input, member, now);
   const report = member.health?.report;
-  if (forMs > 0 || report === undefined) return { kind: 'absent', forMs };
+  if (absentMs > 0 || report === undefined) return { kind: 'absent', absentMs };
   if (report.incarnation !== planned.incarnation) return { kind: 'restarted' };
   if (member.leaving || report.leaving) return { kind: 'leaving' };
-  if (reportsPlace(report, replica, rank)) return judgePlace(report);
+  if (reportsPlace(report, replica, rank)) return getAssignedStatus(report);
   if (report.fence > replica.fence) return { kind: 'moved' };
   return { kind: 'unformed' };
 }
 
-function judgePlace(report: EngineReport): Standing {
+function getAssignedStatus(report: EngineReport): MemberStatus {
   if (report.state === 'failed' || report.state === 'draining') return { kind: 'unformed' };
   return { kind: 'inPlace', ready: report.state === 'ready' };
 }
 
 /**
- * For how long `member` has been unheard; 0 while its last report is fresh enough.
+ * How long `member` has not been heard from; 0 while its last report is fresh.
  *
- * A process that was paused wakes with old reports of everybody. Time before `watchingSince` counts
- * for nothing, so it does not take the whole domain for lost.
+ * Time before `watchingSince` does not count: after this process was suspended, all reports are old
+ * and the whole domain would appear lost.
  */
 export function measureAbsence(
   input: Pick<DomainInput, 'estimates' | 'watchingSince'>,
@@ -61,14 +61,14 @@
 ): Milliseconds {
   const heardAt = member.health?.heardAt ?? Number.NEGATIVE_INFINITY;
   const failingSince = member.health?.failingSince;
-  const since = Math.max(Math.min(heardAt, failingSince ?? heardAt), input.watchingSince);
-  const forMs = now - since;
+  const absentSince = Math.max(Math.min(heardAt, failingSince ?? heardAt), input.watchingSince);
+  const absentMs = now - absentSince;
   if (failingSince === undefined && now - heardAt < input.estimates.lossMs) return 0;
-  return Math.max(forMs, 1);
+  return Math.max(absentMs, 1);
 }
 
-/** Whether `member` can be put into a new replica as far as its own report goes. */
-export function isUsable(
+/** Whether the report of `member` allows assigning it to a new replica. */
+export function isAssignable(
   input: Pick<DomainInput, 'estimates' | 'watchingSince'>,
   member: DomainMember,
   now: Milliseconds,
--- a/src/controllers/replicas/orders.ts
+++ b/src/controllers/replicas/orders.ts
@@ -1,45 +1,44 @@
 /**
- * The orders that follow from a stored plan and what the engines report.
+ * Derives the orders to engines from the stored plan and the engine reports.
  */
 import type { EngineReport, Order } from '../../adapters/engines/protocol.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import { matchesSelector, type Selector } from '../../core/labels/index.js';
 import type { Model, Replica } from '../../objects/index.js';
-import { judgeStanding, measureAbsence } from './member-status.js';
+import { getMemberStatus, measureAbsence } from './member-status.js';
 import type { DomainInput, DomainMember } from './types.js';
 
-/** An order and the engine that it is for. */
+/** An order and its target engine. */
 export interface OrderTask {
   instance: string;
   address: string;
   order: Order;
-  /** The state it was decided from; an engine that ignores numbers is asked again for it. */
-  basis: EngineReport;
-  /** The engine refuses an order with an old number. */
+  /** The report that the order is based on; rechecked for engines that do not check fencing tokens. */
+  basedOn: EngineReport;
+  /** Whether the engine rejects orders with outdated fencing tokens. */
   checksFence: boolean;
 }
 
-/** What orders are made from. */
+/** Input for deriving orders. */
 export interface OrderInput extends DomainInput {
-  /** Engines that refuse old numbers; an empty selector means none. */
+  /** Selects the engines that check fencing tokens; an empty selector matches none. */
   fencingChecked: Selector;
 }
 
 /**
- * All orders that are due under the plan. Every order may be sent again: engines take a repeated
- * one without effect.
+ * All orders that are due under the plan. Orders are idempotent and may be resent.
  */
 export function listOrders(input: OrderInput, now: Milliseconds): OrderTask[] {
   return input.plan.replicas.flatMap((replica) => listReplicaOrders(input, replica, now));
 }
 
 /**
- * The orders that an owner whose lease ran out in an outage of the platform may still send: forming
- * a replica again with the same processes under the same number.
+ * The orders that an owner may still send after its lease expired during a platform outage: forming
+ * a whole replica again with the same processes and fencing token.
  *
- * Only where every member refuses old numbers: if another owner has changed the plan meanwhile, its
- * orders carry a higher number and these come to nothing. An engine that ignores numbers would obey
- * whoever comes last.
+ * Every member must check fencing tokens. If another owner has changed the plan meanwhile, its
+ * higher tokens make the engines reject these orders; engines without the check would obey whichever
+ * order arrives last.
  */
 export function listRestoreOrders(input: OrderInput, now: Milliseconds): OrderTask[] {
   return listOrders(input, now).filter(({ order }) => {
@@ -50,13 +49,13 @@
   });
 }
 
-/** Whether `report`, read just before sending, still is what the order was decided from. */
-export function isOrderStillDue({ basis }: OrderTask, report: EngineReport): boolean {
+/** Whether `report`, read just before sending, still matches the report the order is based on. */
+export function isOrderStillDue({ basedOn }: OrderTask, report: EngineReport): boolean {
   return (
-    report.incarnation === basis.incarnation &&
-    report.fence === basis.fence &&
-    report.replica?.id === basis.replica?.id &&
-    report.replica?.fence === basis.replica?.fence
+    report.incarnation === basedOn.incarnation &&
+    report.fence === basedOn.fence &&
+    report.replica?.id === basedOn.replica?.id &&
+    report.replica?.fence === basedOn.replica?.fence
   );
 }
 
@@ -75,20 +74,19 @@
 }
 
 /**
- * Only with all members at hand: a replica that lacks one would load for nothing.
+ * Form orders are sent only when all members are available, since an incomplete replica cannot load.
  *
- * When one needs the order, all get it. A member that loads while another has failed fails as well;
- * ordered one by one as their reports come in, members that failed can take each other down over and
- * over, which shows as a replica that stays `whole` in the plan and never serves. To those that are
- * in place the order is a repetition without effect.
+ * If one member needs the order, all receive it. Sent one by one, a loading member fails as long as
+ * another is failed, and members can keep each other failed forever while the plan lists the replica
+ * as `whole`. For members already in place the order has no effect.
  */
 function listFormOrders(input: OrderInput, replica: Replica, now: Milliseconds): OrderTask[] {
   const model = input.models.get(replica.model);
   if (model === undefined) return [];
-  const standings = replica.members.map((_, rank) => judgeStanding(input, replica, rank, now));
-  const isAtHand = standings.every(({ kind }) => kind === 'inPlace' || kind === 'unformed');
-  if (!isAtHand) return [];
-  if (standings.every(({ kind }) => kind === 'inPlace')) return [];
+  const statuses = replica.members.map((_, rank) => getMemberStatus(input, replica, rank, now));
+  const areAllAvailable = statuses.every(({ kind }) => kind === 'inPlace' || kind === 'unformed');
+  if (!areAllAvailable) return [];
+  if (statuses.every(({ kind }) => kind === 'inPlace')) return [];
   return replica.members.flatMap(({ instance }, rank) => {
     const order = createFormOrder(input, replica, model, rank);
     return createTask(input, instance, order);
@@ -116,8 +114,8 @@
 function listAdapterOrders(input: OrderInput, replica: Replica, now: Milliseconds): OrderTask[] {
   const adapters = input.models.get(replica.model)?.adapters ?? [];
   return replica.members.flatMap(({ instance }, rank) => {
-    const standing = judgeStanding(input, replica, rank, now);
-    if (standing.kind !== 'inPlace' || !standing.ready) return [];
+    const status = getMemberStatus(input, replica, rank, now);
+    if (status.kind !== 'inPlace' || !status.ready) return [];
     const loaded = input.members.get(instance)?.health?.report?.adapters ?? [];
     const adapter = adapters.find((name) => !loaded.includes(name));
     if (adapter === undefined) return [];
@@ -137,16 +135,16 @@
 }
 
 /**
- * The order names the replica that the engine says it is in. A late order of a former owner may
- * have put an engine that ignores numbers into another one than the plan has it.
+ * The order names the replica that the engine reports. A late order of a previous owner may have put
+ * an engine that does not check fencing tokens into a replica that differs from the plan.
  */
 function listReleaseOrders(input: OrderInput, replica: Replica, now: Milliseconds): OrderTask[] {
   return replica.members.flatMap(({ instance }) => {
     const report = readReport(input, instance, now);
     if (report === undefined) return [];
     const { fence } = replica;
-    const held = report.replica?.id ?? replica.id;
-    return createTask(input, instance, { kind: 'release', fence, replica: held });
+    const reportedReplica = report.replica?.id ?? replica.id;
+    return createTask(input, instance, { kind: 'release', fence, replica: reportedReplica });
   });
 }
 
@@ -163,11 +161,13 @@
 function createTask(input: OrderInput, instance: string | undefined, order: Order): OrderTask[] {
   const member: DomainMember | undefined =
     instance === undefined ? undefined : input.members.get(instance);
-  const basis = member?.health?.report;
-  if (member === undefined || basis === undefined) return [];
+  const report = member?.health?.report;
+  if (member === undefined || report === undefined) return [];
   const { name } = member;
   const { address } = member.instance;
-  return [{ instance: name, address, order, basis, checksFence: checksFence(input, name) }];
+  return [
+    { instance: name, address, order, basedOn: report, checksFence: checksFence(input, name) },
+  ];
 }
 
 function checksFence(input: OrderInput, instance: string): boolean {
--- a/src/controllers/replicas/ownership.ts
+++ b/src/controllers/replicas/ownership.ts
@@ -1,9 +1,8 @@
 /**
- * What one entry knows of one domain's plan, and what it does about owning it.
+ * State machine for the ownership of one domain's plan by one entry.
  *
- * All changes of the object go through conditional writes, so of two entries that race only one
- * wins and the other learns of it. What the entry acts on is always a plan that it read or whose
- * writing was confirmed, never one that it merely wished to write.
+ * The plan is changed only by conditional writes, so only one of two racing entries succeeds and the
+ * other sees a conflict. An entry acts only on plans that it read or whose write was confirmed.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { DomainPlan } from '../../objects/index.js';
@@ -18,57 +17,57 @@
 } from './lease.js';
 import type { PlanDecision } from './types.js';
 
-/** Which start of which entry. */
+/** One incarnation of an entry. */
 export interface OwnerIdentity {
   entry: string;
   incarnation: string;
 }
 
-/** A stored plan. */
+/** A plan with its version and the nonce of its last write. */
 export interface StoredPlan {
   version: number;
   nonce: string;
   plan: DomainPlan;
 }
 
-/** What a write is for. Every write by the owner renews the lease as well. */
+/** Purpose of a write. Every write by the owner also renews the lease. */
 export type WritePurpose = 'take' | 'renew' | 'plan' | 'handOver';
 
-/** A write whose end is not known. */
+/** A write whose outcome is not known yet. */
 export interface PendingWrite {
   nonce: string;
-  /** Before it was sent. */
+  /** Taken before sending. */
   sentAt: Milliseconds;
   purpose: WritePurpose;
-  /** For the lease that it brings. */
+  /** Earliest order under the lease that this write establishes. */
   firstOrderAt: Milliseconds;
 }
 
-/** One domain, as one entry knows it. Replaced, never changed in place. */
+/** State of one domain in one entry; immutable. */
 export interface DomainState {
-  /** Undefined before anything was read, or while there is no such object. */
+  /** Undefined until first read, or if no plan is stored. */
   stored: StoredPlan | undefined;
-  /** When the last change was seen here; for an object that was never seen, since when. */
+  /** When the last change was observed; if none was, when this state was created. */
   changedAt: Milliseconds;
   lease: HeldLease | undefined;
   pending: PendingWrite | undefined;
-  /** Nothing is written or ordered before the object was read again. */
+  /** The plan must be read again before any write or order. */
   mustRead: boolean;
 }
 
-/** What to do about one domain. */
+/** The next action for one domain. */
 export type OwnerAction =
   | { kind: 'none' }
-  /** Read the object, then decide again. */
+  /** Read the plan, then decide again. */
   | { kind: 'read' }
   | { kind: 'write'; expected: number; plan: DomainPlan; purpose: WritePurpose }
-  /** The plan breaks rules and is not written. */
+  /** The plan violates invariants and is not written. */
   | { kind: 'refuse'; faults: readonly PlanFault[] };
 
-/** What a decision on ownership goes by. */
-export interface OwnerSituation {
+/** Context for a decision on ownership. */
+export interface OwnershipContext {
   self: OwnerIdentity;
-  /** Place among the entries that may own the domain, 0 for the first; undefined for none. */
+  /** Position among the candidate owners, starting at 0; undefined if not a candidate. */
   rank: number | undefined;
   leaseMs: Milliseconds;
 }
@@ -76,8 +75,8 @@
 const EMPTY_PLAN: DomainPlan = { fence: 0, replicas: [], spares: [] };
 
 /**
- * The state before anything is known. A first write expects that there is no such object, so
- * whoever is mistaken loses it and learns what is stored.
+ * The initial state. A first write expects that no plan is stored; if one is, the write conflicts
+ * and returns it.
  */
 export function createDomainState(now: Milliseconds): DomainState {
   return {
@@ -90,10 +89,10 @@
 }
 
 /**
- * The state after `object` was seen, in a watch, a read or as the answer to a write. An older
- * version than the one known changes nothing.
+ * The state after observing `object` in a watch, a read or a write response. Older versions are
+ * ignored.
  *
- * A write whose answer was lost is recognised by its nonce. Its lease counts from its sending.
+ * A write whose response was lost is recognized by its nonce; its lease starts when it was sent.
  */
 export function observePlan(
   state: DomainState,
@@ -101,16 +100,17 @@
   self: OwnerIdentity,
   now: Milliseconds,
 ): DomainState {
-  const known = state.stored?.version ?? -1;
-  if (object.version < known) return state;
-  const isOwn = state.pending?.nonce === object.nonce;
-  if (object.version === known && !isOwn) return state;
-  const changedAt = object.version === known ? state.changedAt : now;
+  const knownVersion = state.stored?.version ?? -1;
+  if (object.version < knownVersion) return state;
+  const isOwnWrite = state.pending?.nonce === object.nonce;
+  if (object.version === knownVersion && !isOwnWrite) return state;
+  const changedAt = object.version === knownVersion ? state.changedAt : now;
   const next: DomainState = { ...state, stored: object, changedAt };
   const { owner } = object.plan;
-  const isHeld = owner?.entry === self.entry && owner.incarnation === self.incarnation;
-  if (owner === undefined || !isHeld) return { ...next, lease: undefined, pending: undefined };
-  if (!isOwn || state.pending === undefined) {
+  const isOwnedBySelf = owner?.entry === self.entry && owner.incarnation === self.incarnation;
+  if (owner === undefined || !isOwnedBySelf)
+    return { ...next, lease: undefined, pending: undefined };
+  if (!isOwnWrite || state.pending === undefined) {
     const lease = state.lease?.term === owner.term ? state.lease : undefined;
     return { ...next, lease };
   }
@@ -120,9 +120,9 @@
 }
 
 /**
- * The state after the object was read; `object` undefined when there is none. Whatever was pending
- * and is not the stored change has not taken effect and never will: its expected version is gone or
- * its call has ended.
+ * The state after reading the plan; `object` is undefined if none is stored. A pending write that is
+ * not the stored change can no longer take effect: its expected version is outdated or its call has
+ * ended.
  */
 export function concludeRead(
   state: DomainState,
@@ -130,38 +130,38 @@
   self: OwnerIdentity,
   now: Milliseconds,
 ): DomainState {
-  const seen = object === undefined ? state : observePlan(state, object, self, now);
-  return { ...seen, pending: undefined, mustRead: false };
+  const observed = object === undefined ? state : observePlan(state, object, self, now);
+  return { ...observed, pending: undefined, mustRead: false };
 }
 
-/** The state after `write` was sent. */
+/** The state after sending a write. */
 export function beginWrite(state: DomainState, pending: PendingWrite): DomainState {
   return { ...state, pending };
 }
 
-/** The state after a write ended without a known outcome: the object must be read first. */
+/** The state after a write with an unknown outcome: the plan must be read first. */
 export function doubtWrite(state: DomainState): DomainState {
   return { ...state, mustRead: true };
 }
 
 /**
- * What to do now. `decision` is the planner's, for the owner alone.
+ * Decides the next action. `decision` comes from the planner and is used only by the owner.
  *
- * @example const action = decideOwnership(state, situation, planDomain(input, now), now);
+ * @example const action = decideOwnership(state, context, planDomain(input, now), now);
  */
 export function decideOwnership(
   state: DomainState,
-  situation: OwnerSituation,
+  context: OwnershipContext,
   decision: PlanDecision | undefined,
   now: Milliseconds,
 ): OwnerAction {
   if (state.mustRead) return { kind: 'read' };
   if (state.pending !== undefined) return { kind: 'none' };
-  if (state.lease === undefined) return decideTakeOver(state, situation, now);
-  return decideOwned(state, state.lease, decision, now);
+  if (state.lease === undefined) return decideTakeOver(state, context, now);
+  return decideAsOwner(state, state.lease, decision, now);
 }
 
-/** The write that gives the domain away: the lease ends as soon as it is seen. */
+/** The write that hands the domain over: the shortened lease expires as soon as it is observed. */
 export function decideHandOver(state: DomainState): OwnerAction {
   const owner = state.stored?.plan.owner;
   if (state.stored === undefined || owner === undefined) return { kind: 'none' };
@@ -173,7 +173,7 @@
   return { kind: 'write', expected: state.stored.version, plan, purpose: 'handOver' };
 }
 
-/** When the lease that a write brings allows the first order. */
+/** Earliest time for an order under the lease that a write establishes. */
 export function findOrderStart(
   state: DomainState,
   purpose: WritePurpose,
@@ -186,20 +186,20 @@
 
 function decideTakeOver(
   state: DomainState,
-  situation: OwnerSituation,
+  context: OwnershipContext,
   now: Milliseconds,
 ): OwnerAction {
-  const { rank, leaseMs, self } = situation;
+  const { rank, leaseMs, self } = context;
   if (rank === undefined) return { kind: 'none' };
   const previous = state.stored?.plan ?? EMPTY_PLAN;
-  const freeAt = findTakeOverTime({ plan: previous, changedAt: state.changedAt });
-  if (now < freeAt + findRankDelay(rank, leaseMs)) return { kind: 'none' };
+  const leaseEndsAt = findTakeOverTime({ plan: previous, changedAt: state.changedAt });
+  if (now < leaseEndsAt + findRankDelay(rank, leaseMs)) return { kind: 'none' };
   const term = (previous.owner?.term ?? 0) + 1;
   const plan = { ...previous, owner: { ...self, term, leaseMs, renewal: 0 } };
-  return createWrite(state, plan, 'take');
+  return createWriteAction(state, plan, 'take');
 }
 
-function decideOwned(
+function decideAsOwner(
   state: DomainState,
   lease: HeldLease,
   decision: PlanDecision | undefined,
@@ -208,17 +208,21 @@
   const stored = state.stored?.plan;
   const owner = stored?.owner;
   if (stored === undefined || owner === undefined) return { kind: 'none' };
-  const renewed = { ...owner, renewal: owner.renewal + 1 };
-  // A lease that has run out is renewed before anything is planned on it.
+  const renewedOwner = { ...owner, renewal: owner.renewal + 1 };
+  // An expired lease must be renewed before a plan is written under it.
   const mayPlan = now < findLeaseEnd(lease);
   if (mayPlan && decision?.changed === true) {
-    return createWrite(state, { ...decision.plan, owner: renewed }, 'plan');
+    return createWriteAction(state, { ...decision.plan, owner: renewedOwner }, 'plan');
   }
   if (!isRenewalDue(lease, now)) return { kind: 'none' };
-  return createWrite(state, { ...stored, owner: renewed }, 'renew');
+  return createWriteAction(state, { ...stored, owner: renewedOwner }, 'renew');
 }
 
-function createWrite(state: DomainState, plan: DomainPlan, purpose: WritePurpose): OwnerAction {
+function createWriteAction(
+  state: DomainState,
+  plan: DomainPlan,
+  purpose: WritePurpose,
+): OwnerAction {
   const faults = checkPlanStep(state.stored?.plan ?? EMPTY_PLAN, plan);
   if (faults.length > 0) return { kind: 'refuse', faults };
   return { kind: 'write', expected: state.stored?.version ?? 0, plan, purpose };
--- a/src/controllers/replicas/plan-draft.ts
+++ b/src/controllers/replicas/plan-draft.ts
@@ -1,13 +1,13 @@
 /**
- * The plan in the making: each step of the planner changes the draft and notes why.
+ * The mutable draft of a plan. Each planning step changes it and records the reason.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { DomainPlan, Replica } from '../../objects/index.js';
 import type { DomainInput, PlanReason, RetireCause } from './types.js';
-import { judgeStanding } from './member-status.js';
+import { getMemberStatus } from './member-status.js';
 
-/** Owned by one call of `planDomain`; changed in place by its steps. */
-export interface Draft {
+/** Belongs to a single call of `planDomain`, whose steps change it in place. */
+export interface PlanDraft {
   fence: number;
   replicas: Replica[];
   spares: string[];
@@ -15,48 +15,56 @@
 }
 
 /**
- * A draft that starts from the plan in force. An instance that came from another fabric domain has
- * seen that domain's numbers and would refuse lower ones, so the count goes on above them.
+ * Creates a draft from the current plan. An instance that moved here from another fabric domain
+ * rejects fencing tokens below that domain's, so numbering continues above all reported tokens.
  */
-export function openDraft(input: DomainInput): Draft {
-  const seen = [...input.members.values()].map(({ health }) => health?.report?.fence ?? 0);
+export function createPlanDraft(input: DomainInput): PlanDraft {
+  const reportedFences = [...input.members.values()].map(
+    ({ health }) => health?.report?.fence ?? 0,
+  );
   const replicas = [...input.plan.replicas];
-  return { fence: Math.max(input.plan.fence, ...seen), replicas, spares: [], reasons: [] };
+  return {
+    fence: Math.max(input.plan.fence, ...reportedFences),
+    replicas,
+    spares: [],
+    reasons: [],
+  };
 }
 
-/** The draft as a plan; `previous` when nothing that is stored differs. */
-export function closeDraft(draft: Draft, previous: DomainPlan): DomainPlan {
-  const isSame =
-    isSameList(draft.replicas, previous.replicas) && isSameList(draft.spares, previous.spares);
-  if (isSame) return previous;
+/** Builds the plan; returns `previous` itself if nothing changed. */
+export function buildPlan(draft: PlanDraft, previous: DomainPlan): DomainPlan {
+  const isUnchanged =
+    areListsEqual(draft.replicas, previous.replicas) &&
+    areListsEqual(draft.spares, previous.spares);
+  if (isUnchanged) return previous;
   return { ...previous, fence: draft.fence, replicas: draft.replicas, spares: draft.spares };
 }
 
-/** Puts `replica` in the place of the one with its id. */
-export function replaceReplica(draft: Draft, replica: Replica): void {
-  const at = draft.replicas.findIndex(({ id }) => id === replica.id);
-  draft.replicas[at] = replica;
+/** Replaces the replica with the same id. */
+export function replaceReplica(draft: PlanDraft, replica: Replica): void {
+  const index = draft.replicas.findIndex(({ id }) => id === replica.id);
+  draft.replicas[index] = replica;
 }
 
-/** The next fencing number. */
-export function nextFence(draft: Draft): number {
+/** Issues the next fencing token. */
+export function nextFence(draft: PlanDraft): number {
   draft.fence += 1;
   return draft.fence;
 }
 
-/** Whether the replica is to serve now or later. */
+/** Whether the replica serves or is being formed. */
 export function isActive({ phase }: Pick<Replica, 'phase'>): boolean {
   return phase === 'planned' || phase === 'loading' || phase === 'whole';
 }
 
 /**
- * Takes `replica` out of service: it drains when its leader still answers requests, else its
- * members are released at once. Either gets a new number, so that an order that was sent for the
- * former phase and is late changes nothing any more.
+ * Takes `replica` out of service. It drains if its leader can still answer requests; otherwise its
+ * members are released immediately. The new fencing token invalidates late orders of the previous
+ * phase.
  */
 export function retireReplica(
   input: DomainInput,
-  draft: Draft,
+  draft: PlanDraft,
   replica: Replica,
   cause: RetireCause,
   now: Milliseconds,
@@ -68,18 +76,20 @@
 
 function canDrain(input: DomainInput, replica: Replica, now: Milliseconds): boolean {
   if (replica.phase !== 'whole') return false;
-  const standing = judgeStanding(input, replica, 0, now);
-  if (standing.kind === 'inPlace') return standing.ready;
-  return standing.kind === 'leaving' && holdsReplica(input, replica);
+  const status = getMemberStatus(input, replica, 0, now);
+  if (status.kind === 'inPlace') return status.ready;
+  return status.kind === 'leaving' && isHeldByLeader(input, replica);
 }
 
-function holdsReplica(input: DomainInput, replica: Replica): boolean {
+function isHeldByLeader(input: DomainInput, replica: Replica): boolean {
   const leader = replica.members[0]?.instance ?? '';
   const report = input.members.get(leader)?.health?.report;
   return report?.replica?.id === replica.id && report.state !== 'failed';
 }
 
-function isSameList(a: readonly unknown[], b: readonly unknown[]): boolean {
+function areListsEqual(a: readonly unknown[], b: readonly unknown[]): boolean {
   if (a.length !== b.length) return false;
-  return a.every((value, at) => value === b[at] || JSON.stringify(value) === JSON.stringify(b[at]));
+  return a.every(
+    (value, index) => value === b[index] || JSON.stringify(value) === JSON.stringify(b[index]),
+  );
 }
--- a/src/controllers/replicas/repair-replicas.ts
+++ b/src/controllers/replicas/repair-replicas.ts
@@ -1,42 +1,47 @@
 /**
- * What becomes of a replica that lost a member, or whose model no longer wants it as it is.
+ * Handles replicas that lost a member or no longer match their model.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import { matchesSelector } from '../../core/labels/index.js';
 import type { Model, Replica } from '../../objects/index.js';
-import { sortModels } from './demand.js';
+import { sortByImportance } from './demand.js';
 import { chooseDonors, type DonorChoice } from './donors.js';
-import { isActive, retireReplica, type Draft } from './plan-draft.js';
-import { scoreLosses } from './loss-history.js';
-import { listFree } from './free-instances.js';
-import { judgeStanding, type Standing } from './member-status.js';
+import { isActive, retireReplica, type PlanDraft } from './plan-draft.js';
+import { getLossScore } from './loss-history.js';
+import { listFreeInstances } from './free-instances.js';
+import { getMemberStatus, type MemberStatus } from './member-status.js';
 import type { DomainInput, RetireCause } from './types.js';
-import { chooseWait, estimateReplace, estimateReturn, rateDowntime } from './loss-costs.js';
+import {
+  chooseWait,
+  estimateReplacementMs,
+  estimateReturnMs,
+  calculateDowntimeRate,
+} from './loss-costs.js';
 
-/** A replica with what is known of its members. */
-interface Assessed {
+/** A replica with the status of its members. */
+interface ReplicaAssessment {
   replica: Replica;
   model: Model;
-  standings: Standing[];
+  statuses: MemberStatus[];
 }
 
-/** Looks at every active replica, those of the most important models first. */
-export function repairReplicas(input: DomainInput, draft: Draft, now: Milliseconds): void {
-  retireUnwanted(input, draft, now);
-  for (const { name } of sortModels(input.models)) {
+/** Repairs or retires active replicas, those of the most important models first. */
+export function repairReplicas(input: DomainInput, draft: PlanDraft, now: Milliseconds): void {
+  retireOutdated(input, draft, now);
+  for (const { name } of sortByImportance(input.models)) {
     const ids = draft.replicas.filter(({ model }) => model === name).map(({ id }) => id);
     for (const id of ids) {
-      // Read again: it may have given its members to one before it.
+      // Read again: the replica may have been preempted in an earlier iteration.
       const replica = draft.replicas.find((other) => other.id === id);
       if (replica !== undefined && isActive(replica)) repairReplica(input, draft, replica, now);
     }
   }
 }
 
-function retireUnwanted(input: DomainInput, draft: Draft, now: Milliseconds): void {
-  const changing = new Set<string>();
+function retireOutdated(input: DomainInput, draft: PlanDraft, now: Milliseconds): void {
+  const changingModels = new Set<string>();
   for (const replica of draft.replicas) {
-    if (replica.phase !== 'whole') changing.add(replica.model);
+    if (replica.phase !== 'whole') changingModels.add(replica.model);
   }
   for (const replica of [...draft.replicas]) {
     if (!isActive(replica)) continue;
@@ -45,15 +50,15 @@
       retireReplica(input, draft, replica, { kind: 'modelGone' }, now);
       continue;
     }
-    if (isAsWanted(input, replica, model)) continue;
-    // One after the other, so that a new version of the weights does not empty the domain.
-    if (replica.phase === 'whole' && changing.has(replica.model)) continue;
-    changing.add(replica.model);
+    if (matchesModel(input, replica, model)) continue;
+    // Rolling update: retire one whole replica of a model at a time.
+    if (replica.phase === 'whole' && changingModels.has(replica.model)) continue;
+    changingModels.add(replica.model);
     retireReplica(input, draft, replica, { kind: 'modelChanged' }, now);
   }
 }
 
-function isAsWanted(input: DomainInput, replica: Replica, model: Model): boolean {
+function matchesModel(input: DomainInput, replica: Replica, model: Model): boolean {
   if (replica.weights !== model.weights) return false;
   if (replica.members.length !== model.replicaSize) return false;
   return replica.members.every(({ instance }) => {
@@ -64,60 +69,60 @@
 
 function repairReplica(
   input: DomainInput,
-  draft: Draft,
+  draft: PlanDraft,
   replica: Replica,
   now: Milliseconds,
 ): void {
   const model = input.models.get(replica.model);
   if (model === undefined) return;
-  const standings = replica.members.map((_, rank) => judgeStanding(input, replica, rank, now));
-  const assessed = { replica, model, standings };
-  const cause = findPlainCause(assessed) ?? weighLoss(input, draft, assessed, now);
+  const statuses = replica.members.map((_, rank) => getMemberStatus(input, replica, rank, now));
+  const assessment = { replica, model, statuses };
+  const cause = findMandatoryCause(assessment) ?? decideReplacement(input, draft, assessment, now);
   if (cause !== undefined) retireReplica(input, draft, replica, cause, now);
 }
 
-/** A loss that leaves no choice: what the member held is gone, or it must go. */
-function findPlainCause({ replica, standings }: Assessed): RetireCause | undefined {
-  for (const [rank, standing] of standings.entries()) {
+/** A cause that requires retiring the replica, since a member lost its state or has to leave. */
+function findMandatoryCause({ replica, statuses }: ReplicaAssessment): RetireCause | undefined {
+  for (const [rank, status] of statuses.entries()) {
     const member = replica.members[rank]?.instance ?? '';
-    if (standing.kind === 'leaving') return { kind: 'memberLeaving', member };
-    if (standing.kind === 'restarted') return { kind: 'memberRestarted', member };
-    if (standing.kind === 'gone') return { kind: 'memberGone', member };
-    if (standing.kind === 'moved') return { kind: 'memberMoved', member };
+    if (status.kind === 'leaving') return { kind: 'memberLeaving', member };
+    if (status.kind === 'restarted') return { kind: 'memberRestarted', member };
+    if (status.kind === 'gone') return { kind: 'memberGone', member };
+    if (status.kind === 'moved') return { kind: 'memberMoved', member };
   }
   return undefined;
 }
 
 /**
- * Waiting for the lost member against replacing it, by a free instance or by members of another
- * replica. While nothing can take its place, waiting is free: the others would only be idle
- * elsewhere.
+ * Decides between waiting for the lost member and replacing it with a free instance or with members
+ * of another replica. Without a replacement it always waits, as retiring the replica would only
+ * leave its healthy members idle.
  */
-function weighLoss(
+function decideReplacement(
   input: DomainInput,
-  draft: Draft,
-  assessed: Assessed,
+  draft: PlanDraft,
+  assessment: ReplicaAssessment,
   now: Milliseconds,
 ): RetireCause | undefined {
-  const { replica, model, standings } = assessed;
+  const { replica, model, statuses } = assessment;
   const { estimates, objective } = input;
-  const lost = findLost(assessed, estimates.lossMs);
+  const lost = findLongestAbsent(assessment, estimates.lossMs);
   if (lost === undefined) return undefined;
-  const idle = standings.filter(({ kind }) => kind !== 'absent').length;
-  const rate = rateDowntime(objective, model, idle);
-  const missedMs = estimateReturn(estimates, lost.forMs);
-  const needed = model.replicaSize - idle - countReplacements(input, draft, model, now);
-  const request = { model, needed, missedMs, exclude: replica.id };
-  const choice = needed <= 0 ? NO_DONORS : chooseDonors(input, draft, request, now);
+  const healthy = statuses.filter(({ kind }) => kind !== 'absent').length;
+  const downtimeRate = calculateDowntimeRate(objective, model, healthy);
+  const expectedReturnMs = estimateReturnMs(estimates, lost.absentMs);
+  const neededInstances = model.replicaSize - healthy - countReplacements(input, draft, model, now);
+  const request = { model, neededInstances, expectedReturnMs, excludedReplica: replica.id };
+  const choice = neededInstances <= 0 ? NO_DONORS : chooseDonors(input, draft, request, now);
   if (choice !== undefined) {
-    const replaceCost = rate * estimateReplace(estimates) + choice.cost;
-    const score = scoreLosses(input.history, estimates, lost.member, now);
-    const { missedRate } = choice;
-    const earlierLosses = Math.max(0, score - 1);
-    const costs = { rate, replaceCost, missedRate, earlierLosses };
-    const { waitMs, cost } = chooseWait(estimates, lost.forMs, costs);
+    const replacementCost = downtimeRate * estimateReplacementMs(estimates) + choice.cost;
+    const score = getLossScore(input.history, estimates, lost.member, now);
+    const { downtimeRate: donorDowntimeRate } = choice;
+    const priorLosses = Math.max(0, score - 1);
+    const costs = { downtimeRate, replacementCost, donorDowntimeRate, priorLosses };
+    const { waitMs, cost } = chooseWait(estimates, lost.absentMs, costs);
     if (waitMs === 0) {
-      takeFromDonors(input, draft, replica, choice.donors, now);
+      retireDonors(input, draft, replica, choice.donors, now);
       return { kind: 'memberReplaced', member: lost.member, cost };
     }
   }
@@ -125,11 +130,11 @@
   return undefined;
 }
 
-const NO_DONORS: DonorChoice = { donors: [], cost: 0, missedRate: 0 };
+const NO_DONORS: DonorChoice = { donors: [], cost: 0, downtimeRate: 0 };
 
-function takeFromDonors(
+function retireDonors(
   input: DomainInput,
-  draft: Draft,
+  draft: PlanDraft,
   replica: Replica,
   donors: readonly Replica[],
   now: Milliseconds,
@@ -140,31 +145,34 @@
 
 interface LostMember {
   member: string;
-  forMs: Milliseconds;
+  absentMs: Milliseconds;
 }
 
-/** The member that has been away longest, if that is long enough to count. */
-function findLost({ replica, standings }: Assessed, lossMs: Milliseconds): LostMember | undefined {
+/** The member absent for the longest time, if that exceeds the loss timeout. */
+function findLongestAbsent(
+  { replica, statuses }: ReplicaAssessment,
+  lossMs: Milliseconds,
+): LostMember | undefined {
   let lost: LostMember | undefined;
-  for (const [rank, standing] of standings.entries()) {
-    if (standing.kind !== 'absent' || standing.forMs < lossMs) continue;
-    if (lost !== undefined && lost.forMs >= standing.forMs) continue;
-    lost = { member: replica.members[rank]?.instance ?? '', forMs: standing.forMs };
+  for (const [rank, status] of statuses.entries()) {
+    if (status.kind !== 'absent' || status.absentMs < lossMs) continue;
+    if (lost !== undefined && lost.absentMs >= status.absentMs) continue;
+    lost = { member: replica.members[rank]?.instance ?? '', absentMs: status.absentMs };
   }
   return lost;
 }
 
-/** Free instances and such as a released replica is about to free. */
+/** Number of eligible instances that are free now or pending release. */
 function countReplacements(
   input: DomainInput,
-  draft: Draft,
+  draft: PlanDraft,
   model: Model,
   now: Milliseconds,
 ): number {
-  const { free, pending } = listFree(input, draft, now);
-  const fits = (name: string): boolean => {
+  const { free, pending } = listFreeInstances(input, draft, now);
+  const isEligible = (name: string): boolean => {
     const labels = input.members.get(name)?.instance.labels;
     return labels !== undefined && matchesSelector(model.selector, labels);
   };
-  return free.filter(fits).length + pending.filter(fits).length;
+  return free.filter(isEligible).length + pending.filter(isEligible).length;
 }
--- a/src/controllers/replicas/stray-instances.ts
+++ b/src/controllers/replicas/stray-instances.ts
@@ -1,17 +1,17 @@
 /**
- * Instances that hold a replica of which the plan knows nothing.
+ * Releases stray instances: those that report a replica although the plan assigns them none.
  *
- * It shows as a healthy instance that is never used. The causes: an engine that ignores numbers
- * obeyed a late order after it had confirmed its release; or the instance came from another fabric
- * domain. It goes through a release of its own, with a number above all that it has seen.
+ * Strays would stay healthy but unused. They occur when an engine that does not check fencing tokens
+ * obeys a late order after confirming its release, or when an instance moves in from another fabric
+ * domain. Each is released under a fencing token above all that it has seen.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
-import { nextFence, type Draft } from './plan-draft.js';
+import { nextFence, type PlanDraft } from './plan-draft.js';
 import { measureAbsence } from './member-status.js';
 import type { DomainInput } from './types.js';
 
 /** Adds a released replica for each stray instance. */
-export function releaseStrays(input: DomainInput, draft: Draft, now: Milliseconds): void {
+export function releaseStrays(input: DomainInput, draft: PlanDraft, now: Milliseconds): void {
   const held = new Set(
     draft.replicas.flatMap(({ members }) => members.map(({ instance }) => instance)),
   );
--- a/src/controllers/replicas/types.ts
+++ b/src/controllers/replicas/types.ts
@@ -1,5 +1,5 @@
 /**
- * The messages of the planner: what one fabric domain looks like, and why its plan changes.
+ * Input and output types of the planner.
  */
 import type { InstanceHealth } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
@@ -9,69 +9,67 @@
 export interface DomainMember {
   name: string;
   instance: Instance;
-  /** Gets no new work: the platform, it itself or a peer says so. */
+  /** Accepts no new work, according to the platform, the instance itself or a peer. */
   leaving: boolean;
   health: InstanceHealth | undefined;
 }
 
-/** One kind of loss. Its length is taken to be exponentially distributed. */
+/** A class of instance losses with exponentially distributed duration. */
 export interface LossClass {
-  /** Share of all losses. */
+  /** Fraction of all losses. */
   share: number;
   meanMs: Milliseconds;
-  /** The same process comes back, as after a pause or a cut link; its replica need not be formed. */
+  /** The same process returns, as after a pause or a network partition; its replica stays formed. */
   keepsState: boolean;
 }
 
-/** What the planner expects of time and chance. All in milliseconds of one instance or replica. */
+/** Durations and probabilities that the planner assumes for one instance or replica. */
 export interface Estimates {
-  /** From the order to form a replica until it serves. */
+  /** From the form order until the replica serves. */
   formMs: Milliseconds;
-  /** From the order to release an instance until it confirms. */
+  /** From the release order until the instance confirms it. */
   releaseMs: Milliseconds;
-  /** An instance must have been unheard for this long before it counts as lost. */
+  /** Timeout after which an instance that is not heard from counts as lost. */
   lossMs: Milliseconds;
-  /** What a loss may turn out to be; the shares add up to 1. */
+  /** Possible classes of a loss; the shares add up to 1. */
   lossClasses: readonly LossClass[];
-  /** Mean time between two losses of one instance. */
-  lossEveryMs: Milliseconds;
-  /** Time in which the count of an instance's losses decays by half. */
+  meanTimeBetweenLossesMs: Milliseconds;
+  /** Half-life of an instance's loss score. */
   flapHalfLifeMs: Milliseconds;
 }
 
-/** What is remembered of one instance's losses. */
+/** Loss history of one instance. */
 export interface LossRecord {
-  /** Losses, each counting half after every half-life. */
+  /** Number of losses, decayed with `flapHalfLifeMs`. */
   score: number;
-  /** When `score` was last brought up to date. */
-  at: Milliseconds;
-  /** Whether it is lost now, so that one loss counts once. */
+  updatedAt: Milliseconds;
+  /** Whether it is currently lost; prevents counting a loss twice. */
   lost: boolean;
-  /** The last known start of the instance. */
+  /** The last known incarnation. */
   incarnation?: string;
 }
 
-/** By instance name; kept by the domain's owner in memory. */
+/** By instance name; kept in memory by the owner of the domain. */
 export type LossHistory = ReadonlyMap<string, LossRecord>;
 
-/** What the plan of a domain is made from. */
+/** Input for planning one domain. */
 export interface DomainInput {
   domain: string;
   plan: DomainPlan;
   members: ReadonlyMap<string, DomainMember>;
   models: ReadonlyMap<string, Model>;
-  /** This domain's share of each model's replicas; a model that is absent gets none. */
+  /** Desired replicas of each model in this domain; none for models not listed. */
   wanted: ReadonlyMap<string, number>;
-  /** Draining replicas that no entry and no engine has a request in flight for. */
+  /** Draining replicas without requests in flight at any entry or engine. */
   drained: ReadonlySet<string>;
   objective: Policy['objective'];
   estimates: Estimates;
   history: LossHistory;
-  /** Since when this entry has been watching without a gap; nothing older counts as absence. */
+  /** Start of uninterrupted observation by this entry; earlier time does not count as absence. */
   watchingSince: Milliseconds;
 }
 
-/** Why a replica is taken apart. */
+/** Why a replica is retired. */
 export type RetireCause =
   | { kind: 'modelGone' }
   | { kind: 'modelChanged' }
@@ -79,26 +77,26 @@
   | { kind: 'memberRestarted'; member: string }
   | { kind: 'memberGone'; member: string }
   | { kind: 'memberMoved'; member: string }
-  /** A lost member is replaced at once, which costs least. */
+  /** Replacing a lost member costs less than waiting for it. */
   | { kind: 'memberReplaced'; member: string; cost: number }
-  /** Its members repair `beneficiary`. */
+  /** Its members are used for a replica of the model `beneficiary`. */
   | { kind: 'preempted'; beneficiary: string }
   | { kind: 'surplus' };
 
-/** One reason for a change of the plan, for logs and tests. */
+/** Reason for a planning decision, for logs and tests. */
 export type PlanReason =
   | { kind: 'formed'; replica: string; model: string }
   | { kind: 'advanced'; replica: string; phase: 'loading' | 'whole' | 'released' }
   | { kind: 'retired'; replica: string; cause: RetireCause }
   | { kind: 'freed'; replica: string; members: readonly string[] }
-  /** An instance outside the plan says that it is in a replica; it is told to leave it. */
+  /** An instance reports a replica although the plan assigns it none; it is released. */
   | { kind: 'strayFound'; replica: string; member: string }
-  /** A member is lost and waiting for it is cheapest. */
+  /** A member is lost and the planner waits for its return. */
   | { kind: 'waiting'; replica: string; member: string }
-  /** No instance of the domain is heard: nothing is decided from silence. */
-  | { kind: 'dark' };
+  /** No instance of the domain is reachable; the plan is left unchanged. */
+  | { kind: 'unreachable' };
 
-/** The next plan; `changed` is false when it equals the one before. */
+/** The next plan; `changed` is false if it equals the previous one. */
 export interface PlanDecision {
   plan: DomainPlan;
   changed: boolean;
