--- a/features/replicas/lease.steps.ts
+++ b/features/replicas/lease.steps.ts
@@ -11,7 +11,7 @@
   type HeldLease,
 } from '../../src/controllers/replicas/index.js';
 import { createRandom } from '../../src/core/random/index.js';
-import { playRivals, type RivalHistory } from './rivals.js';
+import { playRivals, type RivalHistory } from './lease-simulation.js';
 
 interface LeaseWorld {
   histories: RivalHistory[];
