--- a/src/controllers/replicas/check-plan.ts
+++ b/src/controllers/replicas/check-plan.ts
@@ -46,7 +46,7 @@
   return faults;
 }
 
-/** Also checks the transition from `previous`: fencing tokens and terms never decrease or repeat. */
+/** Also checks the transition from `previous`: tokens and terms never decrease, tokens are not reused. */
 export function checkPlanStep(previous: DomainPlan, next: DomainPlan): PlanFault[] {
   const faults = checkPlan(next);
   if (next.fence < previous.fence) faults.push({ kind: 'fenceBack' });
@@ -72,9 +72,8 @@
 /** Members are fixed under one fencing token, except that a released replica drops confirmed ones. */
 function keepsMembers(previous: Replica, replica: Replica): boolean {
   if (previous.model !== replica.model) return false;
-  const previousMembers = previous.members.map((member) => JSON.stringify(member));
+  const known = previous.members.map((member) => JSON.stringify(member));
   const members = replica.members.map((member) => JSON.stringify(member));
-  if (replica.phase === 'released')
-    return members.every((member) => previousMembers.includes(member));
-  return members.join() === previousMembers.join();
+  if (replica.phase === 'released') return members.every((member) => known.includes(member));
+  return members.join() === known.join();
 }
--- a/src/controllers/replicas/form-replicas.ts
+++ b/src/controllers/replicas/form-replicas.ts
@@ -154,13 +154,9 @@
   const neededInstances = model.replicaSize - available;
   const choice = chooseDonors(input, draft, { model, neededInstances, expectedReturnMs }, now);
   if (choice === undefined) return;
-  const downtimeRate = calculateDowntimeRate(objective, model, 0);
+  const rate = calculateDowntimeRate(objective, model, 0);
   const donorCost = choice.cost + choice.downtimeRate * expectedReturnMs;
-  if (
-    downtimeRate * expectedReturnMs <=
-    downtimeRate * estimateReplacementMs(estimates) + donorCost
-  )
-    return;
+  if (rate * expectedReturnMs <= rate * estimateReplacementMs(estimates) + donorCost) return;
   for (const donor of choice.donors) {
     retireReplica(input, draft, donor, { kind: 'preempted', beneficiary: name }, now);
   }
--- a/src/controllers/replicas/loss-history.ts
+++ b/src/controllers/replicas/loss-history.ts
@@ -52,17 +52,16 @@
 function updateRecord(
   input: Pick<DomainInput, 'estimates' | 'watchingSince'>,
   member: DomainMember,
-  previous: LossRecord | undefined,
+  last: LossRecord | undefined,
   now: Milliseconds,
 ): LossRecord {
   const isLost = measureAbsence(input, member, now) >= input.estimates.lossMs;
-  const incarnation = member.health?.report?.incarnation ?? previous?.incarnation;
-  if (previous === undefined) return createRecord(isLost, incarnation, now);
-  const hasRestarted = previous.incarnation !== undefined && incarnation !== previous.incarnation;
-  const isNewLoss = !previous.lost && (isLost || hasRestarted);
-  if (!isNewLoss && previous.lost === isLost && previous.incarnation === incarnation)
-    return previous;
-  const score = decayScore(previous, input.estimates, now) + (isNewLoss ? 1 : 0);
+  const incarnation = member.health?.report?.incarnation ?? last?.incarnation;
+  if (last === undefined) return createRecord(isLost, incarnation, now);
+  const hasRestarted = last.incarnation !== undefined && incarnation !== last.incarnation;
+  const isNewLoss = !last.lost && (isLost || hasRestarted);
+  if (!isNewLoss && last.lost === isLost && last.incarnation === incarnation) return last;
+  const score = decayScore(last, input.estimates, now) + (isNewLoss ? 1 : 0);
   return { ...createRecord(isLost, incarnation, now), score };
 }
 
--- a/src/controllers/replicas/ownership.ts
+++ b/src/controllers/replicas/ownership.ts
@@ -107,9 +107,8 @@
   const changedAt = object.version === knownVersion ? state.changedAt : now;
   const next: DomainState = { ...state, stored: object, changedAt };
   const { owner } = object.plan;
-  const isOwnedBySelf = owner?.entry === self.entry && owner.incarnation === self.incarnation;
-  if (owner === undefined || !isOwnedBySelf)
-    return { ...next, lease: undefined, pending: undefined };
+  const isOwner = owner?.entry === self.entry && owner.incarnation === self.incarnation;
+  if (owner === undefined || !isOwner) return { ...next, lease: undefined, pending: undefined };
   if (!isOwnWrite || state.pending === undefined) {
     const lease = state.lease?.term === owner.term ? state.lease : undefined;
     return { ...next, lease };
