--- a/features/replicas/competing.steps.ts
+++ b/features/replicas/competing.steps.ts
@@ -11,7 +11,7 @@
 const REPLICA_SIZE = 3;
 
 Given(
-  'a domain of {int} instances that serves {int} replicas of {string} in threes',
+  'a domain of {int} instances that serves {int} replicas of {string} with three members each',
   function (this: CompetingWorld, count: number, replicas: number, model: string) {
     this.models = new Map([[model, modelSchema.parse({ replicaSize: REPLICA_SIZE, replicas })]]);
     const serving = Array.from({ length: replicas }, () => ({ model, phase: 'whole' as const }));
@@ -20,7 +20,7 @@
 );
 
 When(
-  '{string} with importance {int} wants {int} replica(s) in threes as well',
+  '{string} with importance {int} requests {int} replica(s) with three members each',
   function (this: CompetingWorld, name: string, importance: number, replicas: number) {
     const model = { replicaSize: REPLICA_SIZE, replicas, importance };
     this.models.set(name, modelSchema.parse(model));
@@ -28,9 +28,18 @@
 );
 
 Then(
-  'the domain is to have {int} replica(s) of {string} and {int} of {string}',
-  function (this: CompetingWorld, first: number, one: string, second: number, other: string) {
+  'the domain is assigned {int} replica(s) of {string} and {int} of {string}',
+  function (
+    this: CompetingWorld,
+    firstCount: number,
+    firstModel: string,
+    secondCount: number,
+    secondModel: string,
+  ) {
     const [share] = splitDemand(this.models, [this.supply]);
-    assert.deepEqual([share?.wanted.get(one) ?? 0, share?.wanted.get(other) ?? 0], [first, second]);
+    assert.deepEqual(
+      [share?.wanted.get(firstModel) ?? 0, share?.wanted.get(secondModel) ?? 0],
+      [firstCount, secondCount],
+    );
   },
 );
--- a/features/replicas/fakes.ts
+++ b/features/replicas/fakes.ts
@@ -1,5 +1,5 @@
 /**
- * The platform and the engines in this process, at the interfaces that the entries use.
+ * In-process fakes of the platform and the engines.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { err, errAsync, ok, okAsync, ResultAsync } from 'neverthrow';
@@ -22,25 +22,25 @@
   type StoredObject,
 } from '../../src/objects/index.js';
 
-/** One domain plan in memory, with the ways in which a write can go wrong. */
+/** Stores one domain plan in memory and injects failures. */
 export interface FakePlatform extends Platform {
   plan(): DomainPlan | undefined;
-  /** Called with each write that took effect; its answer waits for what is returned. */
+  /** Called after each successful write; the response waits for the returned promise. */
   onWritten: (plan: DomainPlan) => Promise<void> | undefined;
-  /** The watches under way bring nothing any more; each fails when its wait is over. */
-  silenceWatches(): void;
-  /** Watches under way. */
-  watching(): number;
-  /** So many further answers to writes are lost after their effect. */
-  losesAnswers: number;
+  /** Blocks the open watches: each fails after its wait time without a response. */
+  blockWatches(): void;
+  /** Number of open watches. */
+  countWatches(): number;
+  /** Number of upcoming writes that succeed but whose response is lost. */
+  responsesToLose: number;
 }
 
 export function createFakePlatform(): FakePlatform {
   let stored: StoredObject | undefined;
-  const waiting = new Set<() => void>();
-  /** How often the watches under way were silenced. */
-  let silences = 0;
-  let watching = 0;
+  const waitingWatches = new Set<() => void>();
+  /** Number of calls of `blockWatches`. */
+  let blockCount = 0;
+  let openWatches = 0;
   const list = (since: number) => {
     const objects = stored !== undefined && stored.version > since ? [stored] : [];
     return { objects, revision: stored?.version ?? 0 };
@@ -48,10 +48,10 @@
   const unused = (): ResultAsync<never, PlatformFailure> =>
     errAsync(createFailure('platformUnavailable', { reason: 'not part of this test' }));
   const fake: FakePlatform = {
-    losesAnswers: 0,
-    watching: () => watching,
-    silenceWatches: () => {
-      silences += 1;
+    responsesToLose: 0,
+    countWatches: () => openWatches,
+    blockWatches: () => {
+      blockCount += 1;
     },
     onWritten: () => undefined,
     plan: () => (stored === undefined ? undefined : domainPlanSchema.parse(stored.value)),
@@ -65,66 +65,66 @@
       }
       const object = { kind, name, version: expected + 1, nonce, deleted: false, value };
       stored = object;
-      for (const wake of waiting) wake();
-      waiting.clear();
-      if (fake.losesAnswers > 0) {
-        fake.losesAnswers -= 1;
+      for (const wake of waitingWatches) wake();
+      waitingWatches.clear();
+      if (fake.responsesToLose > 0) {
+        fake.responsesToLose -= 1;
         return errAsync(createFailure('platformOutcomeUnknown', { reason: 'answer lost' }));
       }
-      const held = fake.onWritten(domainPlanSchema.parse(value)) ?? Promise.resolve();
-      return ResultAsync.fromSafePromise(held.then(() => ({ kind: 'written', object }) as const));
+      const delay = fake.onWritten(domainPlanSchema.parse(value)) ?? Promise.resolve();
+      return ResultAsync.fromSafePromise(delay.then(() => ({ kind: 'written', object }) as const));
     },
     watch: (_kinds, since, waitMs, signal) => {
-      const ended = new AbortController();
-      const end = signal ? AbortSignal.any([signal, ended.signal]) : ended.signal;
-      const sentIn = silences;
+      const timerAbort = new AbortController();
+      const timerSignal = signal ? AbortSignal.any([signal, timerAbort.signal]) : timerAbort.signal;
+      const blockCountAtStart = blockCount;
       const changed = new Promise<void>((resolve) => {
         if (waitMs === 0 || list(since).objects.length > 0) resolve();
-        waiting.add(resolve);
+        waitingWatches.add(resolve);
         signal?.addEventListener('abort', () => {
           resolve();
         });
       });
-      const answer = async () => {
-        watching += 1;
-        const overWait = sleep(waitMs, undefined, { signal: end }).catch(() => undefined);
-        await Promise.race([changed, overWait]);
-        watching -= 1;
-        if (silences === sentIn) {
-          ended.abort();
+      const respond = async () => {
+        openWatches += 1;
+        const timeout = sleep(waitMs, undefined, { signal: timerSignal }).catch(() => undefined);
+        await Promise.race([changed, timeout]);
+        openWatches -= 1;
+        if (blockCount === blockCountAtStart) {
+          timerAbort.abort();
           return ok(list(since));
         }
-        await overWait;
+        await timeout;
         return err(createFailure('platformUnavailable', { reason: 'no answer' }));
       };
-      return new ResultAsync(answer());
+      return new ResultAsync(respond());
     },
   };
   return fake;
 }
 
-/** An order as an engine received it. */
-export interface JournaledOrder {
+/** An order sent to an engine. */
+export interface RecordedOrder {
   entry: string;
   instance: string;
   order: Order;
 }
 
-/** Two entries' worth of parts over one platform and one set of engines. */
+/** The health and replicas parts of an entry. */
 export interface FakeEntry {
   context: EntryContext;
   health: HealthPart;
   replicas: ReplicasPart;
 }
 
-const unusedCall = (): never => {
+const failUnusedCall = (): never => {
   throw new Error('not part of this test');
 };
 
 function createFakeEngines(
   entry: string,
   world: EngineWorld,
-  journal: JournaledOrder[],
+  sentOrders: RecordedOrder[],
   now: () => number,
 ): Engines {
   const find = (address: string): string => {
@@ -141,25 +141,25 @@
     health: (address) => report(find(address)),
     order: (address, order) => {
       const instance = find(address);
-      journal.push({ entry, instance, order });
+      sentOrders.push({ entry, instance, order });
       if (world.order(instance, order, now())) return report(instance);
       return errAsync(createFailure('orderRefused', { name: instance, reason: 'fenced' }));
     },
-    complete: unusedCall,
-    cancel: unusedCall,
-    cacheEvents: unusedCall,
+    complete: failUnusedCall,
+    cancel: failUnusedCall,
+    cacheEvents: failUnusedCall,
   };
 }
 
-/** Short, so that scenarios see leases lapse. In milliseconds. */
+/** Short enough for leases to expire within a scenario. */
 const LEASE_MS = 600;
 
-/** An entry that hears no other, so it takes itself for the first choice of owner. */
+/** Creates an entry without peers, so that it ranks itself first as owner. */
 export function createFakeEntry(
   name: string,
   platform: Platform,
   world: EngineWorld,
-  journal: JournaledOrder[],
+  sentOrders: RecordedOrder[],
   leaseMs = LEASE_MS,
 ): FakeEntry {
   const clock = createSystemClock();
@@ -181,7 +181,7 @@
     region: 'default',
     failureDomain: 'domain-a',
   };
-  const engines = createFakeEngines(name, world, journal, () => clock.now());
+  const engines = createFakeEngines(name, world, sentOrders, () => clock.now());
   const instances = new Map([...world.engines.values()].map((one) => [one.name, one.instance]));
   board.fleet.write({ revision: 1, instances, leaving: new Set() });
   const value = modelSchema.parse({ replicas: 1, replicaSize: 3 });
--- a/features/replicas/gate.steps.ts
+++ b/features/replicas/gate.steps.ts
@@ -14,28 +14,28 @@
 import { domainPlanSchema, instanceSchema, type Instance } from '../../src/objects/index.js';
 
 const FRESH_MS = 2_000;
-const SIZE = 3;
+const REPLICA_SIZE = 3;
 
 interface MemberState {
   known: boolean;
   leaving: boolean;
-  saysLeaving: boolean;
+  reportsLeaving: boolean;
   ageMs: number;
   failing: boolean;
-  sameStart: boolean;
+  sameIncarnation: boolean;
   sameReplica: boolean;
   sameFence: boolean;
   sameRank: boolean;
   state: EngineReport['state'];
 }
 
-const WELL: MemberState = {
+const HEALTHY: MemberState = {
   known: true,
   leaving: false,
-  saysLeaving: false,
+  reportsLeaving: false,
   ageMs: 100,
   failing: false,
-  sameStart: true,
+  sameIncarnation: true,
   sameReplica: true,
   sameFence: true,
   sameRank: true,
@@ -53,11 +53,18 @@
   const fence = member.sameFence ? 7 : 6;
   return {
     instance: `engine-${rank}`,
-    incarnation: member.sameStart ? `start-${rank}` : 'other',
+    incarnation: member.sameIncarnation ? `start-${rank}` : 'other',
     state: member.state,
-    replica: { id, fence, model: 'm', weights: '1', rank: member.sameRank ? rank : 9, size: SIZE },
+    replica: {
+      id,
+      fence,
+      model: 'm',
+      weights: '1',
+      rank: member.sameRank ? rank : 9,
+      size: REPLICA_SIZE,
+    },
     fence: 7,
-    leaving: member.saysLeaving,
+    leaving: member.reportsLeaving,
     inFlight: 0,
     adapters: [],
     cacheSequence: 0,
@@ -73,8 +80,8 @@
     const described = { role: 'engine', address: '127.0.0.1:1', failureDomain: 'a' };
     if (member.known) instances.set(name, instanceSchema.parse(described));
     if (member.leaving) leaving.add(name);
-    const heard = recordReport(undefined, createReport(rank, member), now - member.ageMs);
-    health.set(name, member.failing ? recordFailure(heard, now) : heard);
+    const reported = recordReport(undefined, createReport(rank, member), now - member.ageMs);
+    health.set(name, member.failing ? recordFailure(reported, now) : reported);
   });
   const plan = domainPlanSchema.parse({
     fence: 7,
@@ -102,10 +109,10 @@
 const memberState: fc.Arbitrary<MemberState> = fc.record({
   known: mostly(true),
   leaving: mostly(false),
-  saysLeaving: mostly(false),
+  reportsLeaving: mostly(false),
   ageMs: fc.oneof({ weight: 9, arbitrary: fc.nat(FRESH_MS - 1) }, fc.nat(3 * FRESH_MS)),
   failing: mostly(false),
-  sameStart: mostly(true),
+  sameIncarnation: mostly(true),
   sameReplica: mostly(true),
   sameFence: mostly(true),
   sameRank: mostly(true),
@@ -115,35 +122,35 @@
   ),
 });
 
-function isWell(member: MemberState): boolean {
-  const { known, sameStart, sameReplica, sameFence, sameRank, state, ageMs } = member;
-  if (member.leaving || member.saysLeaving || member.failing) return false;
-  if (!known || !sameStart || !sameReplica || !sameFence || !sameRank) return false;
+function isHealthy(member: MemberState): boolean {
+  const { known, sameIncarnation, sameReplica, sameFence, sameRank, state, ageMs } = member;
+  if (member.leaving || member.reportsLeaving || member.failing) return false;
+  if (!known || !sameIncarnation || !sameReplica || !sameFence || !sameRank) return false;
   return state === 'ready' && ageMs < FRESH_MS;
 }
 
 When(
   'replicas are checked for serving against {int} random states of their members',
   function (runs: number) {
-    let served = 0;
-    const states = fc.array(memberState, { minLength: SIZE, maxLength: SIZE });
+    let eligible = 0;
+    const states = fc.array(memberState, { minLength: REPLICA_SIZE, maxLength: REPLICA_SIZE });
     const property = fc.property(states, (members) => {
       const listed = listEligibleReplicas(createView(members, 10_000), 10_000, FRESH_MS).length;
-      const expected = members.every(isWell) ? 1 : 0;
-      served += expected;
+      const expected = members.every(isHealthy) ? 1 : 0;
+      eligible += expected;
       assert.equal(listed, expected);
     });
     fc.assert(property, { numRuns: runs, seed: 11 });
-    assert.ok(served > runs / 100, `only ${served} of the states could serve`);
+    assert.ok(eligible > runs / 100, `only ${eligible} of the states were eligible`);
   },
 );
 
-Then('each was listed exactly when all its members were well', function () {
-  // The step before compared each state with what it must give.
+Then('each was listed exactly when all its members were healthy', function () {
+  // Asserted for each state by the previous step.
 });
 
 Given('a replica in service', function (this: GateWorld) {
-  this.view = createView([WELL, WELL, WELL], 10_000);
+  this.view = createView([HEALTHY, HEALTHY, HEALTHY], 10_000);
   this.health = new Map(this.view.health);
   assert.equal(listEligibleReplicas(this.view, 10_000, FRESH_MS).length, 1);
 });
@@ -160,25 +167,25 @@
 );
 
 Then(
-  "the replica is out of service, also after that probe's good report",
+  "the replica is out of service, even after that probe's healthy report",
   function (this: GateWorld) {
     assert.equal(countServing(this, 10_200), 0);
-    const report = createReport(1, WELL);
+    const report = createReport(1, HEALTHY);
     this.health.set('engine-1', recordReport(this.health.get('engine-1'), report, 10_150));
     assert.equal(countServing(this, 10_300), 0);
   },
 );
 
-Then('a report that is asked for later brings it back', function (this: GateWorld) {
-  const report = createReport(1, WELL);
+Then('a report that is requested later restores it', function (this: GateWorld) {
+  const report = createReport(1, HEALTHY);
   this.health.set('engine-1', recordReport(this.health.get('engine-1'), report, 10_250));
   assert.equal(countServing(this, 10_300), 1);
 });
 
 When(
-  'a peer passes on a report of one member that was heard {int} ms ago and took {int} ms',
+  'a peer forwards a report of one member that is {int} ms old and took {int} ms to arrive',
   function (this: GateWorld, ageMs: number, transitMs: number) {
-    const report = createReport(1, WELL);
+    const report = createReport(1, HEALTHY);
     this.health.set('engine-1', recordPassedReport(undefined, report, ageMs, transitMs, 10_000));
   },
 );
@@ -201,11 +208,11 @@
       return { name: `engine-${at}`, failureDomain: domains[at % 3] ?? '' };
     });
     const lost = 'entry-4';
-    const left = probers.filter(({ name }) => name !== lost);
+    const remaining = probers.filter(({ name }) => name !== lost);
     this.probers = {
       lost,
       before: targets.map((target) => chooseProbers(probers, target, 2)),
-      after: targets.map((target) => chooseProbers(left, target, 2)),
+      after: targets.map((target) => chooseProbers(remaining, target, 2)),
     };
   },
 );
--- a/features/replicas/lease-simulation.ts
+++ b/features/replicas/lease-simulation.ts
@@ -1,5 +1,5 @@
 /**
- * Entries that compete for one domain in simulated time, each by its own clock.
+ * Simulates entries that compete for one domain, each with its own drifting clock.
  */
 import type { Random } from '../../src/core/random/index.js';
 import {
@@ -16,34 +16,34 @@
   type StoredPlan,
 } from '../../src/controllers/replicas/index.js';
 
-/** An order under way, in real time. */
-export interface OrderSpan {
+/** The time during which an order may be in flight, in simulated real time. */
+export interface OrderInterval {
   entry: string;
   from: number;
   until: number;
 }
 
-/** What a history came to. */
-export interface RivalHistory {
-  orders: readonly OrderSpan[];
+/** Result of one simulation. */
+export interface LeaseHistory {
+  orders: readonly OrderInterval[];
   terms: number;
 }
 
-interface Rival {
+interface SimulatedEntry {
   name: string;
-  rate: number;
-  offset: number;
-  asleepUntil: number;
-  /** Cut off from the store until then, and ordering on. */
-  cutUntil: number;
+  clockRate: number;
+  clockOffset: number;
+  suspendedUntil: number;
+  /** Has no connection to the store until then but keeps sending orders. */
+  partitionedUntil: number;
   state: DomainState;
 }
 
-/** Something that happens at a real instant, to an entry that may be asleep by then. */
+/** An event for an entry, due at a real time and deferred while the entry is suspended. */
 interface Delivery {
   at: number;
-  to: Rival;
-  apply: (rival: Rival, localNow: number) => void;
+  to: SimulatedEntry;
+  apply: (entry: SimulatedEntry, localNow: number) => void;
 }
 
 const LEASE_MS = 3_000;
@@ -51,121 +51,129 @@
 const TICK_MS = 50;
 const END_MS = 60_000;
 
-/** Plays one history; `random` decides delays, losses and sleeps. */
-export function playRivals(count: number, random: Random): RivalHistory {
-  const rivals = Array.from({ length: count }, (_, at) => createRival(at, random));
-  const orders: OrderSpan[] = [];
+/** Runs one simulation; `random` determines delays, lost responses, partitions and suspensions. */
+export function simulateLeases(count: number, random: Random): LeaseHistory {
+  const entries = Array.from({ length: count }, (_, at) => createSimulatedEntry(at, random));
+  const orders: OrderInterval[] = [];
   const deliveries: Delivery[] = [];
   let stored: StoredPlan | undefined;
 
-  const schedule = (to: Rival, at: number, apply: Delivery['apply']): void => {
+  const schedule = (to: SimulatedEntry, at: number, apply: Delivery['apply']): void => {
     deliveries.push({ at, to, apply });
   };
   const publish = (object: StoredPlan, at: number): void => {
     stored = object;
-    for (const rival of rivals) {
-      const seenAt = Math.max(at, rival.cutUntil) + draw(400, random);
-      schedule(rival, seenAt, (to, now) => {
+    for (const entry of entries) {
+      const observedAt = Math.max(at, entry.partitionedUntil) + drawDelay(400, random);
+      schedule(entry, observedAt, (to, now) => {
         to.state = observePlan(to.state, object, identify(to), now);
       });
     }
   };
-  const read = (rival: Rival, at: number): void => {
-    if (rival.cutUntil > at) return;
+  const read = (entry: SimulatedEntry, at: number): void => {
+    if (entry.partitionedUntil > at) return;
     const object = stored;
-    schedule(rival, at + draw(200, random), (to, now) => {
+    schedule(entry, at + drawDelay(200, random), (to, now) => {
       to.state = concludeRead(to.state, object, identify(to), now);
     });
   };
-  const write = (rival: Rival, at: number): void => {
-    const localNow = readClock(rival, at);
-    // Every entry takes itself for the first choice, as when none of them hears another.
-    const situation = { self: identify(rival), rank: 0, leaseMs: LEASE_MS };
-    const action = decideOwnership(rival.state, situation, undefined, localNow);
-    if (action.kind === 'read') read(rival, at);
+  const write = (entry: SimulatedEntry, at: number): void => {
+    const localNow = readClock(entry, at);
+    // Every entry ranks itself first, as when they are isolated from each other.
+    const context = { self: identify(entry), rank: 0, leaseMs: LEASE_MS };
+    const action = decideOwnership(entry.state, context, undefined, localNow);
+    if (action.kind === 'read') read(entry, at);
     if (action.kind !== 'write') return;
-    const nonce = `${rival.name}/${at}`;
-    const firstOrderAt = findOrderStart(rival.state, action.purpose, ORDER_TIMEOUT_MS);
+    const nonce = `${entry.name}/${at}`;
+    const firstOrderAt = findOrderStart(entry.state, action.purpose, ORDER_TIMEOUT_MS);
     const pending = { nonce, sentAt: localNow, purpose: action.purpose, firstOrderAt };
-    rival.state = beginWrite(rival.state, pending);
-    if (rival.cutUntil > at) {
-      schedule(rival, at + draw(600, random), (to) => {
+    entry.state = beginWrite(entry.state, pending);
+    if (entry.partitionedUntil > at) {
+      schedule(entry, at + drawDelay(600, random), (to) => {
         to.state = doubtWrite(to.state);
       });
       return;
     }
-    const arrivesAt = at + draw(600, random);
+    const arrivesAt = at + drawDelay(600, random);
     const { expected, plan } = action;
     schedule(STORE, arrivesAt, () => {
       const isExpected = (stored?.version ?? 0) === expected;
       if (isExpected) publish({ version: expected + 1, nonce, plan }, arrivesAt);
-      const answer = stored;
+      const response = stored;
       const isLost = random.below(10) === 0;
-      schedule(rival, arrivesAt + draw(600, random), (to, now) => {
-        const seen = isLost ? doubtWrite(to.state) : undefined;
-        to.state = seen ?? concludeRead(to.state, answer, identify(to), now);
+      schedule(entry, arrivesAt + drawDelay(600, random), (to, now) => {
+        const uncertain = isLost ? doubtWrite(to.state) : undefined;
+        to.state = uncertain ?? concludeRead(to.state, response, identify(to), now);
       });
     });
   };
 
   for (let at = 0; at < END_MS; at += TICK_MS) {
     deliver(deliveries, at);
-    for (const rival of rivals) {
-      if (rival.asleepUntil > at) continue;
-      // Asleep for up to two leases, without any notice when it wakes.
+    for (const entry of entries) {
+      if (entry.suspendedUntil > at) continue;
+      // Suspended for up to two leases; the entry does not notice when it resumes.
       if (random.below(160) === 0) {
-        rival.asleepUntil = at + random.below(2 * LEASE_MS);
+        entry.suspendedUntil = at + random.below(2 * LEASE_MS);
         continue;
       }
-      if (random.below(300) === 0) rival.cutUntil = at + random.below(3 * LEASE_MS);
-      write(rival, at);
-      const now = readClock(rival, at);
-      if (mayOrder(rival.state.lease, now, ORDER_TIMEOUT_MS)) {
-        // One that its sender gave up may be on its way for as long again.
-        const until = at + (2 * ORDER_TIMEOUT_MS) / rival.rate;
-        orders.push({ entry: rival.name, from: at, until });
+      if (random.below(300) === 0) entry.partitionedUntil = at + random.below(3 * LEASE_MS);
+      write(entry, at);
+      const now = readClock(entry, at);
+      if (mayOrder(entry.state.lease, now, ORDER_TIMEOUT_MS)) {
+        // An order may arrive for as long again after its sender timed out.
+        const until = at + (2 * ORDER_TIMEOUT_MS) / entry.clockRate;
+        orders.push({ entry: entry.name, from: at, until });
       }
     }
   }
   return { orders, terms: stored?.plan.owner?.term ?? 0 };
 }
 
-/** Delivers what is due to whoever is awake; the rest stays for when they wake. */
+/** Delivers due events, except to suspended entries. */
 function deliver(deliveries: Delivery[], at: number): void {
-  const due = deliveries.filter((one) => one.at <= at && one.to.asleepUntil <= at);
+  const due = deliveries.filter(
+    (delivery) => delivery.at <= at && delivery.to.suspendedUntil <= at,
+  );
   due.sort((a, b) => a.at - b.at);
-  for (const one of due) {
-    deliveries.splice(deliveries.indexOf(one), 1);
-    one.apply(one.to, readClock(one.to, at));
+  for (const delivery of due) {
+    deliveries.splice(deliveries.indexOf(delivery), 1);
+    delivery.apply(delivery.to, readClock(delivery.to, at));
   }
 }
 
-function createRival(index: number, random: Random): Rival {
-  const rate = 1 + (2 * random.fraction() - 1) * CLOCK_DRIFT;
-  const offset = random.below(1_000_000);
-  const rival = { name: `entry-${index}`, rate, offset, asleepUntil: 0, cutUntil: 0 };
-  return { ...rival, state: createDomainState(offset) };
+function createSimulatedEntry(index: number, random: Random): SimulatedEntry {
+  const clockRate = 1 + (2 * random.fraction() - 1) * CLOCK_DRIFT;
+  const clockOffset = random.below(1_000_000);
+  const entry = {
+    name: `entry-${index}`,
+    clockRate,
+    clockOffset,
+    suspendedUntil: 0,
+    partitionedUntil: 0,
+  };
+  return { ...entry, state: createDomainState(clockOffset) };
 }
 
-/** The store itself never sleeps. */
-const STORE: Rival = {
+/** The store is never suspended. */
+const STORE: SimulatedEntry = {
   name: 'store',
-  rate: 1,
-  offset: 0,
-  asleepUntil: 0,
-  cutUntil: 0,
+  clockRate: 1,
+  clockOffset: 0,
+  suspendedUntil: 0,
+  partitionedUntil: 0,
   state: createDomainState(0),
 };
 
-function readClock(rival: Rival, at: number): number {
-  return rival.offset + at * rival.rate;
+function readClock(entry: SimulatedEntry, at: number): number {
+  return entry.clockOffset + at * entry.clockRate;
 }
 
-function identify(rival: Rival): { entry: string; incarnation: string } {
-  return { entry: rival.name, incarnation: 'start-1' };
+function identify(entry: SimulatedEntry): { entry: string; incarnation: string } {
+  return { entry: entry.name, incarnation: 'start-1' };
 }
 
-/** Mostly near 0, where the margins are tight. */
-function draw(most: number, random: Random): number {
-  return random.fraction() ** 4 * most;
+/** Favors short delays, where the margins are tight. */
+function drawDelay(maxMs: number, random: Random): number {
+  return random.fraction() ** 4 * maxMs;
 }
--- a/features/replicas/lease.steps.ts
+++ b/features/replicas/lease.steps.ts
@@ -11,10 +11,10 @@
   type HeldLease,
 } from '../../src/controllers/replicas/index.js';
 import { createRandom } from '../../src/core/random/index.js';
-import { playRivals, type RivalHistory } from './lease-simulation.js';
+import { simulateLeases, type LeaseHistory } from './lease-simulation.js';
 
 interface LeaseWorld {
-  histories: RivalHistory[];
+  histories: LeaseHistory[];
   lease: HeldLease;
   state: DomainState;
 }
@@ -24,7 +24,7 @@
   function (this: LeaseWorld, runs: number, entries: number) {
     this.histories = [];
     const property = fc.property(fc.nat(), (seed) => {
-      this.histories.push(playRivals(entries, createRandom(seed)));
+      this.histories.push(simulateLeases(entries, createRandom(seed)));
     });
     fc.assert(property, { numRuns: runs, seed: 3 });
   },
@@ -32,9 +32,9 @@
 
 Then('no two entries ever had orders under way at the same time', function (this: LeaseWorld) {
   for (const { orders } of this.histories) {
-    const ordered = [...orders].sort((a, b) => a.from - b.from);
+    const sortedOrders = [...orders].sort((a, b) => a.from - b.from);
     let last = { entry: '', until: Number.NEGATIVE_INFINITY };
-    for (const { entry, from, until } of ordered) {
+    for (const { entry, from, until } of sortedOrders) {
       const overlaps = entry !== last.entry && from < last.until;
       assert.equal(overlaps, false, `${entry} orders at ${from} while ${last.entry} does`);
       last = { entry, until };
@@ -45,10 +45,14 @@
 Then(
   'orders were sent in all of them, and the domain changed hands in most',
   function (this: LeaseWorld) {
-    const ordered = this.histories.filter(({ orders }) => orders.length > 100);
-    assert.equal(ordered.length, this.histories.length);
-    const changed = this.histories.filter(({ terms }) => terms > 1);
-    assert.equal(changed.length > this.histories.length / 2, true, `${changed.length} changed`);
+    const withOrders = this.histories.filter(({ orders }) => orders.length > 100);
+    assert.equal(withOrders.length, this.histories.length);
+    const withTakeover = this.histories.filter(({ terms }) => terms > 1);
+    assert.equal(
+      withTakeover.length > this.histories.length / 2,
+      true,
+      `${withTakeover.length} changed`,
+    );
   },
 );
 
--- a/features/replicas/loss.feature
+++ b/features/replicas/loss.feature
@@ -1,20 +1,20 @@
 Feature: A running request leaves a replica when the loss of a member is certain
 
   Scenario Outline: What counts as a loss
-    # A leader that stands still keeps its streams open, so their callers wait for as long as the pause
-    # lasts. But moving a stream costs the prompt's work once more: one late probe must not do it.
-    Given a request that runs at a replica of 3 under number 7
+    # Guards against callers that wait for a suspended leader, and against moving a stream, which
+    # repeats the prefill, because of a single late probe.
+    Given a request that runs at a replica of 3 with fencing token 7
     When one of the members <state>
-    Then the request <fate>
+    Then the request <outcome>
 
     Examples:
-      | state                                  | fate                        |
-      | reports well                           | stays                       |
+      | state                                  | outcome                     |
+      | reports that it is ready               | stays                       |
       | failed one probe                       | stays                       |
-      | was unheard for 1999 ms                | stays                       |
-      | was unheard for 2000 ms                | moves: unheard              |
-      | reports another start                  | moves: otherIncarnation     |
-      | reports a later number                 | moves: otherReplica         |
+      | sent no report for 1999 ms             | stays                       |
+      | sent no report for 2000 ms             | moves: unheard              |
+      | reports another incarnation            | moves: otherIncarnation     |
+      | reports a higher fencing token         | moves: otherReplica         |
       | reports that its replica failed        | moves: notReady             |
       | drains with its replica                | stays                       |
       | is in a replica that the plan released | moves: phase                |
--- a/features/replicas/loss.steps.ts
+++ b/features/replicas/loss.steps.ts
@@ -14,10 +14,10 @@
 const FRESH_MS = 2_000;
 const MEMBER = 'engine-1';
 const MEMBERS = ['engine-0', MEMBER, 'engine-2'];
-const UNHEARD = /^was unheard for (\d+) ms$/;
+const UNHEARD_STATE = /^sent no report for (\d+) ms$/;
 
 Given(
-  'a request that runs at a replica of 3 under number {int}',
+  'a request that runs at a replica of 3 with fencing token {int}',
   function (this: LossWorld, fence: number) {
     const members = MEMBERS.map((instance) => ({ instance, incarnation: `${instance}-a` }));
     this.replica = { id: 'r-1', model: 'pass', weights: '1', fence, phase: 'whole', members };
@@ -41,13 +41,13 @@
 When(/^one of the members (.+)$/, function (this: LossWorld, state: string) {
   const before = this.health.get(MEMBER);
   assert.ok(before?.report);
-  const unheardMs = UNHEARD.exec(state)?.[1];
+  const unheardMs = UNHEARD_STATE.exec(state)?.[1];
   if (unheardMs !== undefined) {
     this.health.set(MEMBER, { ...before, heardAt: NOW - Number(unheardMs) });
     return;
   }
   switch (state) {
-    case 'reports well':
+    case 'reports that it is ready':
       return;
     case 'failed one probe':
       this.health.set(MEMBER, recordFailure(before, NOW));
@@ -59,23 +59,23 @@
       this.replica = { ...this.replica, phase: 'draining', fence: 8 };
       break;
   }
-  const report = { ...before.report, ...changeReport(before.report, state) };
+  const report = { ...before.report, ...getChangedFields(before.report, state) };
   this.health.set(MEMBER, { report, heardAt: NOW });
 });
 
-Then(/^the request (stays|moves: \w+)$/, function (this: LossWorld, fate: string) {
+Then(/^the request (stays|moves: \w+)$/, function (this: LossWorld, outcome: string) {
   const value: DomainPlan = { fence: 9, replicas: [this.replica], spares: [] };
   const plans = new Map([['fabric-1', { version: 1, value }]]);
   const serving = { replica: 'r-1', fence: 7, members: MEMBERS };
   const loss = findLoss({ plans, health: this.health }, serving, NOW, FRESH_MS);
-  assert.equal(loss === undefined ? 'stays' : `moves: ${loss.kind}`, fate);
+  assert.equal(loss === undefined ? 'stays' : `moves: ${loss.kind}`, outcome);
 });
 
-function changeReport(report: EngineReport, state: string): Partial<EngineReport> {
+function getChangedFields(report: EngineReport, state: string): Partial<EngineReport> {
   switch (state) {
-    case 'reports another start':
+    case 'reports another incarnation':
       return { incarnation: `${MEMBER}-b` };
-    case 'reports a later number':
+    case 'reports a higher fencing token':
       return { fence: 8, replica: report.replica && { ...report.replica, fence: 8 } };
     case 'reports that its replica failed':
       return { state: 'failed' };
--- a/features/replicas/owners.steps.ts
+++ b/features/replicas/owners.steps.ts
@@ -10,30 +10,30 @@
   createFakePlatform,
   type FakeEntry,
   type FakePlatform,
-  type JournaledOrder,
+  type RecordedOrder,
 } from './fakes.js';
 
 interface OwnersWorld {
   world: EngineWorld;
   platform: FakePlatform;
-  journal: JournaledOrder[];
+  sentOrders: RecordedOrder[];
   entries: FakeEntry[];
-  letGo: () => void;
-  /** The entry whose write is held up; undefined before. */
-  held: string | undefined;
-  ordersBefore: number;
-  silentAt: number;
-  /** Of the entries' leases; undefined for short ones. */
+  resumeWriter: () => void;
+  /** The entry whose write response is delayed; undefined until the delay starts. */
+  delayed: string | undefined;
+  previousOrders: number;
+  blockedAt: number;
+  /** Lease duration of the entries; undefined for the default. */
   leaseMs?: number;
 }
 
 const FRESH_MS = 400;
-/** Of short leases. */
+/** Default lease duration of fake entries. */
 const LEASE_MS = 600;
-/** Each place waits a quarter of a lease longer. */
-const LEAST_RANK = 24;
+/** Each rank adds a quarter of a lease to the wait before taking over. */
+const MIN_RANK = 24;
 
-function prepare(context: OwnersWorld, engines: number, fencing: 'checked' | 'ignored'): void {
+function setUp(context: OwnersWorld, engines: number, fencing: 'checked' | 'ignored'): void {
   const names = Array.from({ length: engines }, (_, at) => `engine-${at}`);
   context.world = createEngineWorld({ names, fabricDomain: 'fabric-1', loadMs: 20, fencing });
   names.forEach((name, at) => {
@@ -41,7 +41,7 @@
     if (engine) engine.instance = { ...engine.instance, address: `127.0.0.1:${at + 1}` };
   });
   context.platform = createFakePlatform();
-  context.journal = [];
+  context.sentOrders = [];
   context.entries = [];
 }
 
@@ -51,7 +51,7 @@
     name,
     context.platform,
     context.world,
-    context.journal,
+    context.sentOrders,
     context.leaseMs,
   );
   context.entries.push(entry);
@@ -75,7 +75,7 @@
 }
 
 After(async function (this: Partial<OwnersWorld>) {
-  this.letGo?.();
+  this.resumeWriter?.();
   for (const { replicas, health } of this.entries ?? []) {
     await replicas.stop();
     await health.stop();
@@ -84,27 +84,27 @@
 
 Given(
   '{int} engines and a platform that loses the answers to the next {int} writes',
-  function (this: OwnersWorld, engines: number, answers: number) {
-    prepare(this, engines, 'checked');
-    this.platform.losesAnswers = answers;
+  function (this: OwnersWorld, engines: number, responses: number) {
+    setUp(this, engines, 'checked');
+    this.platform.responsesToLose = responses;
   },
 );
 
 Given('{int} engines and a platform', function (this: OwnersWorld, engines: number) {
-  prepare(this, engines, 'checked');
+  setUp(this, engines, 'checked');
 });
 
 Given(
-  "{int} engines that ignore numbers and a platform that holds up the first plan's writer",
+  "{int} engines that do not check fencing tokens and a platform that delays the first plan's writer",
   function (this: OwnersWorld, engines: number) {
-    prepare(this, engines, 'ignored');
-    const released = new Promise<void>((resolve) => {
-      this.letGo = resolve;
+    setUp(this, engines, 'ignored');
+    const resumed = new Promise<void>((resolve) => {
+      this.resumeWriter = resolve;
     });
     this.platform.onWritten = (plan) => {
-      if (plan.replicas.length === 0 || this.held !== undefined) return undefined;
-      this.held = plan.owner?.entry ?? '';
-      return released;
+      if (plan.replicas.length === 0 || this.delayed !== undefined) return undefined;
+      this.delayed = plan.owner?.entry ?? '';
+      return resumed;
     };
   },
 );
@@ -112,7 +112,7 @@
 Given(
   '{int} engines, a platform, and leases of {int} seconds',
   function (this: OwnersWorld, engines: number, seconds: number) {
-    prepare(this, engines, 'checked');
+    setUp(this, engines, 'checked');
     this.leaseMs = seconds * 1_000;
   },
 );
@@ -121,34 +121,34 @@
   startEntry(this);
 });
 
-When('another entry runs that many others come before as owners', function (this: OwnersWorld) {
+When('another entry runs with many higher-ranked owner candidates', function (this: OwnersWorld) {
   const { context } = startEntry(this);
-  // So many that by rank alone it would look at the domain after seven leases or more.
+  // With this many candidates, rank alone delays the entry by at least seven leases.
   const names = Array.from({ length: 60 }, (_, at) => `peer-${at}`);
-  const place = { domain: 'fabric-1', region: undefined, failureDomain: 'domain-a' };
+  const location = { domain: 'fabric-1', region: undefined, failureDomain: 'domain-a' };
   const { identity, writers, clock } = context;
   const peers = names.map((name) => createPeer(name, clock.now()));
   const candidates = peers.map((peer) => ({ ...peer, region: undefined }));
-  const order = rankOwners(place, [{ ...identity, region: undefined }, ...candidates]);
-  assert.ok(order.indexOf(identity.name) >= LEAST_RANK, `rank ${order.indexOf(identity.name)}`);
+  const ranking = rankOwners(location, [{ ...identity, region: undefined }, ...candidates]);
+  assert.ok(ranking.indexOf(identity.name) >= MIN_RANK, `rank ${ranking.indexOf(identity.name)}`);
   writers.peers.write(new Map(peers.map((peer) => [peer.name, peer])));
 });
 
-When('the watches under way go silent', async function (this: OwnersWorld) {
-  await waitFor('both entries to watch', () => this.platform.watching() === 2);
-  this.platform.silenceWatches();
-  this.silentAt = performance.now();
+When('the open watches stop responding', async function (this: OwnersWorld) {
+  await waitFor('both entries to open a watch', () => this.platform.countWatches() === 2);
+  this.platform.blockWatches();
+  this.blockedAt = performance.now();
 });
 
 Then('the other entry has the newest plan within two leases', async function (this: OwnersWorld) {
   const { context } = this.entries.at(-1) ?? {};
   const renewal = this.platform.plan()?.owner?.renewal ?? 0;
-  await waitFor('a renewal to be seen', () => {
-    const seen = context?.board.plans.read().get('fabric-1')?.value.owner?.renewal ?? 0;
-    return seen > renewal;
+  await waitFor('a renewal to be observed', () => {
+    const observed = context?.board.plans.read().get('fabric-1')?.value.owner?.renewal ?? 0;
+    return observed > renewal;
   });
-  const tookMs = performance.now() - this.silentAt;
-  assert.ok(tookMs <= 2 * LEASE_MS, `it came after ${Math.round(tookMs)} ms`);
+  const tookMs = performance.now() - this.blockedAt;
+  assert.ok(tookMs <= 2 * LEASE_MS, `plan received after ${Math.round(tookMs)} ms`);
 });
 
 When('two entries run', function (this: OwnersWorld) {
@@ -162,44 +162,41 @@
   assert.equal(this.platform.plan()?.replicas.length, 1);
 });
 
-Then('its replica of 3 serves, and only one entry gave orders', async function (this: OwnersWorld) {
+Then('its replica of 3 serves, and only one entry sent orders', async function (this: OwnersWorld) {
   await waitUntilServing(this, this.entries[0]);
   await waitUntilServing(this, this.entries[1]);
-  const givers = new Set(this.journal.map(({ entry }) => entry));
-  assert.deepEqual([...givers], [this.platform.plan()?.owner?.entry]);
+  const senders = new Set(this.sentOrders.map(({ entry }) => entry));
+  assert.deepEqual([...senders], [this.platform.plan()?.owner?.entry]);
 });
 
 When(
   'the other entry has taken over and its replica of 3 serves',
   async function (this: OwnersWorld) {
     const other = (): FakeEntry | undefined =>
-      this.entries.find(({ context }) => context.identity.name !== this.held);
+      this.entries.find(({ context }) => context.identity.name !== this.delayed);
     const isTaken = (): boolean => {
-      return this.held !== undefined && this.platform.plan()?.owner?.entry !== this.held;
+      return this.delayed !== undefined && this.platform.plan()?.owner?.entry !== this.delayed;
     };
     await waitFor('another entry to own the domain', isTaken);
     await waitUntilServing(this, other());
   },
 );
 
-When('the first entry is let go on', async function (this: OwnersWorld) {
-  this.ordersBefore = this.journal.filter(({ entry }) => entry === this.held).length;
+When('the first entry resumes', async function (this: OwnersWorld) {
+  this.previousOrders = this.sentOrders.filter(({ entry }) => entry === this.delayed).length;
   const renewal = this.platform.plan()?.owner?.renewal ?? 0;
-  this.letGo();
-  const others = (): boolean => (this.platform.plan()?.owner?.renewal ?? 0) > renewal + 3;
-  await waitFor('the other owner to renew its lease a few times', others);
+  this.resumeWriter();
+  const hasRenewed = (): boolean => (this.platform.plan()?.owner?.renewal ?? 0) > renewal + 3;
+  await waitFor('the other owner to renew its lease a few times', hasRenewed);
 });
 
-Then(
-  'the first entry gives no order and the replica goes on serving',
-  function (this: OwnersWorld) {
-    const orders = this.journal.filter(({ entry }) => entry === this.held).length;
-    assert.equal(orders, this.ordersBefore);
-    assert.equal(orders, 0);
-    assert.equal(this.entries.every(isServedBy), true);
-    assert.notEqual(this.platform.plan()?.owner?.entry, this.held);
-  },
-);
+Then('the first entry sends no orders and the replica keeps serving', function (this: OwnersWorld) {
+  const orders = this.sentOrders.filter(({ entry }) => entry === this.delayed).length;
+  assert.equal(orders, this.previousOrders);
+  assert.equal(orders, 0);
+  assert.equal(this.entries.every(isServedBy), true);
+  assert.notEqual(this.platform.plan()?.owner?.entry, this.delayed);
+});
 
 When('its replica of 3 serves', async function (this: OwnersWorld) {
   await waitUntilServing(this, this.entries[0]);
@@ -208,7 +205,7 @@
 When('it hands over and another entry runs', async function (this: OwnersWorld) {
   const [first] = this.entries;
   await first?.replicas.handOver();
-  this.ordersBefore = this.journal.length;
+  this.previousOrders = this.sentOrders.length;
   startEntry(this);
 });
 
@@ -216,10 +213,10 @@
   'the other entry owns the domain before the lease is over and the replica was not ordered again',
   async function (this: OwnersWorld) {
     const isTaken = (): boolean => this.platform.plan()?.owner?.entry === 'entry-1';
-    // Far shorter than the lease, which is the other way to come by the domain.
+    // Well below the lease, whose expiry would also allow the takeover.
     await waitFor('the other entry to own the domain', isTaken, (this.leaseMs ?? 0) / 4);
     await waitUntilServing(this, this.entries[1]);
-    assert.equal(this.journal.length, this.ordersBefore);
+    assert.equal(this.sentOrders.length, this.previousOrders);
   },
 );
 
--- a/features/replicas/planner.steps.ts
+++ b/features/replicas/planner.steps.ts
@@ -17,10 +17,10 @@
   run: DomainRun;
   now: number;
   models: Map<string, Model>;
-  before: DomainPlan;
-  victim: string;
+  initialPlan: DomainPlan;
+  failedEngine: string;
   shares: string[];
-  total: number;
+  totalReplicas: number;
 }
 
 function createWorld(count: number, fencing: 'checked' | 'ignored' = 'checked'): EngineWorld {
@@ -46,9 +46,9 @@
   });
   context.now = 0;
   advance(context, 3 * LOAD_MS);
-  context.before = context.run.plan();
-  const unready = context.before.replicas.filter(({ phase }) => phase !== 'whole');
-  assert.deepEqual(unready, []);
+  context.initialPlan = context.run.plan();
+  const incomplete = context.initialPlan.replicas.filter(({ phase }) => phase !== 'whole');
+  assert.deepEqual(incomplete, []);
 }
 
 function advance(context: PlannerWorld, spanMs: number): void {
@@ -64,8 +64,9 @@
   if (replica.phase !== 'whole') return false;
   return replica.members.every(({ instance }) => {
     const engine = world.engines.get(instance);
-    const isPlace = engine?.formed?.replica === replica.id && engine.formed.fence === replica.fence;
-    return engine?.condition === 'up' && engine.state === 'ready' && isPlace;
+    const holdsReplica =
+      engine?.formed?.replica === replica.id && engine.formed.fence === replica.fence;
+    return engine?.condition === 'up' && engine.state === 'ready' && holdsReplica;
   });
 }
 
@@ -76,37 +77,40 @@
     .filter((replica) => model === undefined || replica.model === model);
 }
 
-function chooseVictim(context: PlannerWorld, model: string, rank = 1): string {
-  const replica = context.before.replicas.find((other) => other.model === model);
+function selectMember(context: PlannerWorld, model: string, rank = 1): string {
+  const replica = context.initialPlan.replicas.find((other) => other.model === model);
   return replica?.members[rank]?.instance ?? '';
 }
 
-const happening = fc.record({
+const faultEvent = fc.record({
   kind: fc.constantFrom('kill', 'restart', 'pause', 'wake', 'late', 'none'),
   engine: fc.nat(11),
   steps: fc.integer({ min: 1, max: 12 }),
 });
 
-interface Happening {
+interface FaultEvent {
   kind: string;
   engine: number;
   steps: number;
 }
 
-/** Orders as they were sent, to be delivered again late by a former owner's connection. */
+/** Records sent orders, so that they can be delivered again as late orders of a previous owner. */
 function recordOrders(world: EngineWorld): { instance: string; order: Order }[] {
   const sent: { instance: string; order: Order }[] = [];
   const original = world.order;
   world.order = (instance, order, now) => {
-    assert.ok(!cutsService(world, instance, order), `order cuts a serving replica: ${instance}`);
+    assert.ok(
+      !interruptsService(world, instance, order),
+      `order interrupts a serving replica: ${instance}`,
+    );
     sent.push({ instance, order });
     return original(instance, order, now);
   };
   return sent;
 }
 
-/** An order that takes a ready engine out of its replica while all of that replica serves. */
-function cutsService(world: EngineWorld, instance: string, order: Order): boolean {
+/** Whether the order removes a ready engine from a replica whose members all serve. */
+function interruptsService(world: EngineWorld, instance: string, order: Order): boolean {
   if (order.kind !== 'form' && order.kind !== 'release') return false;
   const engine = world.engines.get(instance);
   if (engine?.state !== 'ready' || engine.formed === undefined) return false;
@@ -116,7 +120,7 @@
   });
 }
 
-function playHistory(history: readonly Happening[], fencing: 'checked' | 'ignored'): void {
+function runHistory(history: readonly FaultEvent[], fencing: 'checked' | 'ignored'): void {
   const world = createWorld(12, fencing);
   const deliver = world.order;
   const sent = recordOrders(world);
@@ -130,7 +134,7 @@
   let now = 0;
   const step = (): void => {
     run.tick(now);
-    assertSeparate(run.plan());
+    assertNoSharedInstance(run.plan());
     now += STEP_MS;
   };
   for (const { kind, engine, steps } of history) {
@@ -147,13 +151,13 @@
   }
   for (let count = 0; count < 600; count += 1) step();
   assert.equal(run.plan().replicas.filter((replica) => isServing(world, replica)).length, 3);
-  const settled = JSON.stringify(run.plan());
+  const finalPlan = JSON.stringify(run.plan());
   for (let count = 0; count < 20; count += 1) step();
-  assert.equal(JSON.stringify(run.plan()), settled);
+  assert.equal(JSON.stringify(run.plan()), finalPlan);
 }
 
-/** Written apart from `checkPlan`, which the planner's own writes go through. */
-function assertSeparate(plan: DomainPlan): void {
+/** Implemented independently of `checkPlan`, which the planner itself uses. */
+function assertNoSharedInstance(plan: DomainPlan): void {
   const names = plan.replicas.flatMap(({ members }) => members.map(({ instance }) => instance));
   assert.equal(new Set(names).size, names.length, 'an instance is in two replicas');
 }
@@ -162,10 +166,10 @@
   '{int} random histories of losses and late orders run against the planner',
   { timeout: 120_000 },
   function (runs: number) {
-    const history = fc.array(happening, { minLength: 1, maxLength: 25 });
+    const history = fc.array(faultEvent, { minLength: 1, maxLength: 25 });
     const fencing = fc.constantFrom('checked' as const, 'ignored' as const);
-    const property = fc.property(history, fencing, (happenings, kind) => {
-      playHistory(happenings, kind);
+    const property = fc.property(history, fencing, (events, kind) => {
+      runHistory(events, kind);
     });
     fc.assert(property, { numRuns: runs, seed: 23, endOnFailure: true });
   },
@@ -174,23 +178,26 @@
 Then(
   'no plan had an instance in two replicas and no engine was ordered out of a replica that served',
   function () {
-    // Asserted after each look of each history.
+    // Asserted after each step of each history.
   },
 );
 
-Then('once the losses end, all that can be formed serves and the plan stands still', function () {
-  // Asserted at the end of each history.
-});
+Then(
+  'once the losses end, all that can be formed serves and the plan stays unchanged',
+  function () {
+    // Asserted at the end of each history.
+  },
+);
 
 Given(
-  'a planned domain of {int} engines with {int} replica(s) of {string} in fours',
+  'a planned domain of {int} engines with {int} replica(s) of {string} with four members each',
   function (this: PlannerWorld, engines: number, replicas: number, model: string) {
     startDomain(this, engines, new Map([[model, createModel(replicas)]]));
   },
 );
 
 Given(
-  'a planned domain of {int} engines with 1 replica of {string} and 1 of {string} in fours',
+  'a planned domain of {int} engines with 1 replica of {string} and 1 of {string} with four members each',
   function (this: PlannerWorld, engines: number, first: string, second: string) {
     const models = new Map([
       [first, createModel(1, 90)],
@@ -200,25 +207,25 @@
   },
 );
 
-Given('group downtime is what the objective weighs', function (this: PlannerWorld) {
+Given('the objective prioritizes group downtime', function (this: PlannerWorld) {
   startDomain(this, 8, this.models, { groupDowntime: 10, strandedAccelerators: 0.01 });
 });
 
-Given('stranded accelerators are what the objective weighs', function (this: PlannerWorld) {
+Given('the objective prioritizes stranded accelerators', function (this: PlannerWorld) {
   startDomain(this, 8, this.models, { groupDowntime: 0.01, strandedAccelerators: 10 });
 });
 
 When('one member of a replica is killed and stays away', function (this: PlannerWorld) {
-  this.victim = chooseVictim(this, 'pass');
-  this.world.kill(this.victim);
+  this.failedEngine = selectMember(this, 'pass');
+  this.world.kill(this.failedEngine);
   advance(this, 60_000);
 });
 
 When(
   'one member of the replica of {string} is killed and stays away',
   function (this: PlannerWorld, model: string) {
-    this.victim = chooseVictim(this, model);
-    this.world.kill(this.victim);
+    this.failedEngine = selectMember(this, model);
+    this.world.kill(this.failedEngine);
     advance(this, 600_000);
   },
 );
@@ -229,57 +236,57 @@
     const serving = listServing(this);
     assert.equal(serving.length, 2);
     const members = serving.flatMap((replica) => replica.members.map(({ instance }) => instance));
-    assert.equal(members.includes(this.victim), false);
+    assert.equal(members.includes(this.failedEngine), false);
   },
 );
 
 When('one member of a replica is paused and wakes after 2 seconds', function (this: PlannerWorld) {
-  this.victim = chooseVictim(this, 'pass');
-  this.world.pause(this.victim);
+  this.failedEngine = selectMember(this, 'pass');
+  this.world.pause(this.failedEngine);
   advance(this, 2_000);
-  this.world.wake(this.victim);
+  this.world.wake(this.failedEngine);
   advance(this, 3 * LOAD_MS);
 });
 
-Then('the same replicas serve under the same numbers', function (this: PlannerWorld) {
-  assert.deepEqual(this.run.plan(), this.before);
-  assert.equal(listServing(this).length, this.before.replicas.length);
+Then('the same replicas serve with the same fencing tokens', function (this: PlannerWorld) {
+  assert.deepEqual(this.run.plan(), this.initialPlan);
+  assert.equal(listServing(this).length, this.initialPlan.replicas.length);
 });
 
 When(
-  'one member of a replica is killed and is back before it is missed',
+  'one member of a replica is killed and restarts before its loss is detected',
   function (this: PlannerWorld) {
-    this.victim = chooseVictim(this, 'pass');
-    this.world.kill(this.victim);
-    this.world.restart(this.victim);
+    this.failedEngine = selectMember(this, 'pass');
+    this.world.kill(this.failedEngine);
+    this.world.restart(this.failedEngine);
     advance(this, 5 * LOAD_MS);
   },
 );
 
-Then('its replica is formed anew under a higher number', function (this: PlannerWorld) {
-  const former = new Map(this.before.replicas.map(({ id, fence }) => [id, fence]));
+Then('its replica is formed anew with a higher fencing token', function (this: PlannerWorld) {
+  const initialFences = new Map(this.initialPlan.replicas.map(({ id, fence }) => [id, fence]));
   const serving = listServing(this);
   assert.equal(serving.length, 2);
-  const anew = serving.filter(({ id }) => !former.has(id));
-  assert.equal(anew.length, 1);
-  assert.ok((anew[0]?.fence ?? 0) > this.before.fence);
+  const newReplicas = serving.filter(({ id }) => !initialFences.has(id));
+  assert.equal(newReplicas.length, 1);
+  assert.ok((newReplicas[0]?.fence ?? 0) > this.initialPlan.fence);
 });
 
 Then(
   '{string} serves again with members of the replica of {string}',
   function (this: PlannerWorld, important: string, other: string) {
     const [serving] = listServing(this, important);
-    const donors = this.before.replicas.find(({ model }) => model === other)?.members ?? [];
-    const given = donors.filter(({ instance }) =>
+    const donors = this.initialPlan.replicas.find(({ model }) => model === other)?.members ?? [];
+    const donated = donors.filter(({ instance }) =>
       serving?.members.some((member) => member.instance === instance),
     );
-    assert.notEqual(given.length, 0, 'no member of the other replica is in it');
+    assert.notEqual(donated.length, 0, 'no member of the donor replica is in it');
   },
 );
 
-Then('the replica of {string} goes on serving', function (this: PlannerWorld, model: string) {
-  const former = this.before.replicas.find((replica) => replica.model === model);
-  assert.deepEqual(listServing(this, model), [former]);
+Then('the replica of {string} keeps serving', function (this: PlannerWorld, model: string) {
+  const initialReplica = this.initialPlan.replicas.find((replica) => replica.model === model);
+  assert.deepEqual(listServing(this, model), [initialReplica]);
 });
 
 function createPeer(draining: Peer['draining']): Peer {
@@ -301,8 +308,8 @@
 When(
   'the leader of the replica is told to leave with 3 requests in flight',
   function (this: PlannerWorld) {
-    this.victim = chooseVictim(this, 'pass', 0);
-    const engine = this.world.engines.get(this.victim);
+    this.failedEngine = selectMember(this, 'pass', 0);
+    const engine = this.world.engines.get(this.failedEngine);
     assert.ok(engine);
     engine.instance = { ...engine.instance, state: 'leaving' };
     engine.inFlight = 3;
@@ -313,20 +320,30 @@
 Then(
   'its replica drains, and is released only when engine and every entry report none',
   function (this: PlannerWorld) {
-    const former = this.before.replicas[0];
-    const draining = this.run.plan().replicas.find(({ id }) => id === former?.id);
+    const initialReplica = this.initialPlan.replicas[0];
+    const draining = this.run.plan().replicas.find(({ id }) => id === initialReplica?.id);
     assert.equal(draining?.phase, 'draining');
-    const engine = this.world.engines.get(this.victim);
+    const engine = this.world.engines.get(this.failedEngine);
     assert.ok(engine);
     engine.inFlight = 0;
     const health = this.run.health();
-    const report = this.world.report(this.victim, this.now);
+    const report = this.world.report(this.failedEngine, this.now);
     assert.ok(report);
-    const emptied = new Map([...health, [this.victim, { report, heardAt: this.now }]]);
+    const healthAfterDrain = new Map([
+      ...health,
+      [this.failedEngine, { report, heardAt: this.now }],
+    ]);
     const attempts = { inFlight: new Map(), sent: [], demands: [] };
-    const isDrained = (known: Peer['draining'], own = new Map<string, number>()): boolean => {
-      const peers = new Map([['entry-2', createPeer(known)]]);
-      const view = { attempts: { ...attempts, inFlight: own }, peers, health: emptied };
+    const isDrained = (
+      reported: Peer['draining'],
+      ownInFlight = new Map<string, number>(),
+    ): boolean => {
+      const peers = new Map([['entry-2', createPeer(reported)]]);
+      const view = {
+        attempts: { ...attempts, inFlight: ownInFlight },
+        peers,
+        health: healthAfterDrain,
+      };
       const drained = listDrained(this.run.plan(), { ...view, forgetMs: 10_000 }, 5_000);
       return drained.has(draining.id);
     };
@@ -343,7 +360,7 @@
   },
 );
 
-When('all engines fall silent for an hour and wake', function (this: PlannerWorld) {
+When('all engines stop responding for an hour and resume', function (this: PlannerWorld) {
   for (const name of this.world.engines.keys()) this.world.pause(name);
   for (let minute = 0; minute < 60; minute += 1) {
     this.run.tick(this.now);
@@ -353,9 +370,9 @@
   advance(this, 3 * LOAD_MS);
 });
 
-Then('{int} further looks at it change nothing', function (this: PlannerWorld, looks: number) {
-  advance(this, looks * STEP_MS);
-  assert.equal(this.run.plan(), this.before);
+Then('{int} further planning rounds change nothing', function (this: PlannerWorld, rounds: number) {
+  advance(this, rounds * STEP_MS);
+  assert.equal(this.run.plan(), this.initialPlan);
 });
 
 When(
@@ -370,7 +387,7 @@
     this.shares = [];
     const property = fc.property(fc.shuffledSubarray(supplies, { minLength: domains }), (order) => {
       const shares = splitDemand(models, order);
-      this.total = shares.reduce((sum, { wanted }) => sum + (wanted.get('pass') ?? 0), 0);
+      this.totalReplicas = shares.reduce((sum, { wanted }) => sum + (wanted.get('pass') ?? 0), 0);
       this.shares.push(JSON.stringify(shares.map((share) => [share.domain, [...share.wanted]])));
     });
     fc.assert(property, { seed: 5, numRuns: 50 });
@@ -381,6 +398,6 @@
   'all owners have the same shares, and together they make {int}',
   function (this: PlannerWorld, total: number) {
     assert.equal(new Set(this.shares).size, 1);
-    assert.equal(this.total, total);
+    assert.equal(this.totalReplicas, total);
   },
 );
