--- a/src/gateway/requests/run.ts
+++ b/src/gateway/requests/request-forwarder.ts
@@ -10,17 +10,17 @@
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import type { AttemptAnswer, AttemptFailure, AttemptSender } from '../backends/attempt.js';
 import type { GatewayContext } from '../types.js';
-import { isGood, relayEvents, sendPlain } from './answering.js';
+import { isGood, relayEvents, sendPlain } from './response-relay.js';
 import type { Backends, ChosenTarget } from './backends.js';
 import type { Reply } from './reply.js';
 import type { Quarantine } from './quarantine.js';
 import { RequestWait } from './request-wait.js';
-import { reportEnd, reportSent } from './run-report.js';
-import { Sending, type SendingOwner } from './sending.js';
+import { reportEnd, reportSent } from './request-report.js';
+import { Sending, type SendingOwner } from './tracked-attempt.js';
 import { limitsBeforeAnswer, limitsWithinAnswer } from './stall-limits.js';
-import { refuseStopped, STOPPED, type Stopping } from './stopping.js';
+import { refuseStopped, STOPPED, type Stopping } from './shutdown.js';
 import type { AdmittedRequest, RequestOutcome } from './types.js';
-import type { WaitingLines } from './waiting-line.js';
+import type { WaitingLines } from './request-queues.js';
 import type { Watchdog, WatchedRequest } from './watchdog.js';
 
 /** What a run needs beside its request. */
--- a/src/gateway/requests/request-path.ts
+++ b/src/gateway/requests/request-path.ts
@@ -13,15 +13,15 @@
 import type { GatewayContext } from '../types.js';
 import { admitRequest } from './admission.js';
 import type { Backends } from './backends.js';
-import { readBody, type BodyRead } from './body.js';
+import { readBody, type BodyRead } from './request-body.js';
 import { computeFingerprint } from './fingerprint.js';
 import type { Quarantine } from './quarantine.js';
 import { createReply, type Reply } from './reply.js';
-import { reportUnread } from './run-report.js';
-import { RequestRun, type RunTools } from './run.js';
-import { createStopping, refuseStopped } from './stopping.js';
+import { reportUnread } from './request-report.js';
+import { RequestRun, type RunTools } from './request-forwarder.js';
+import { createStopping, refuseStopped } from './shutdown.js';
 import type { RequestHead } from './types.js';
-import { createWaitingLines } from './waiting-line.js';
+import { createWaitingLines } from './request-queues.js';
 import type { Watchdog, WatchedRequest } from './watchdog.js';
 
 /** The listener for callers. */
--- a/src/gateway/requests/request-wait.ts
+++ b/src/gateway/requests/request-wait.ts
@@ -3,7 +3,7 @@
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { AdmittedRequest } from './types.js';
-import type { InLine, WaitingLines } from './waiting-line.js';
+import type { InLine, WaitingLines } from './request-queues.js';
 
 /** Longest wait for a target, as a part of the time that the caller has left. */
 const WAIT_PART = 0.4;
--- a/src/gateway/requests/answering.ts
+++ b/src/gateway/requests/response-relay.ts
@@ -4,7 +4,7 @@
 import type { RequestDialect } from '../../ports/index.js';
 import type { AttemptAnswer } from '../backends/attempt.js';
 import type { Reply } from './reply.js';
-import type { Sending } from './sending.js';
+import type { Sending } from './tracked-attempt.js';
 
 /** A success that is the backend server's own, whole and unchanged so far. */
 export function isGood(answer: AttemptAnswer): boolean {
