--- a/features/gateway/boundaries.feature
+++ b/features/gateway/boundaries.feature
@@ -1,8 +1,7 @@
 Feature: The platform's names stay in its adapter
 
   Scenario: No module of the product names a header, field or word of the platform
-    A name of the platform inside the product would have to change with the platform, and readers of
-    the product would meet words that its glossary does not have.
+    # Guards against platform names outside the adapter, which would tie the product to one platform.
     When the modules of the product are read
     Then none of them names a header of the platform
     And none of them imports the adapter
--- a/features/gateway/boundaries.steps.ts
+++ b/features/gateway/boundaries.steps.ts
@@ -12,11 +12,11 @@
   modules: Module[];
 }
 
-/** Names that only the platform uses; the usual ones of HTTP are the product's as well. */
+/** Names specific to the platform; standard HTTP names are not among them. */
 const PLATFORM_NAMES =
   /Attempt-Id|Response-Seal|Not-Executed|Urgency-Level|Prompt-Prefix|Expect-Instance|Token-Count|traffic_split|kv_capacity_tokens|close_mode|max_attempts|heartbeat_ms|as_of\b/;
 const ADAPTER_IMPORT = /from '(\.\.\/)+platform\//;
-const TIME_OR_CHANCE = /Math\.random|setTimeout|setInterval|Date\.now|performance\.now/;
+const CLOCK_OR_RANDOM = /Math\.random|setTimeout|setInterval|Date\.now|performance\.now/;
 
 async function readModules(folder: string): Promise<Module[]> {
   const names = await readdir(folder, { recursive: true });
@@ -50,6 +50,6 @@
 Then(
   'none of them sets a timer, reads a clock or draws a random number',
   function (this: BoundaryWorld) {
-    assertNone(this.modules, TIME_OR_CHANCE);
+    assertNone(this.modules, CLOCK_OR_RANDOM);
   },
 );
--- a/features/gateway/explaining.feature
+++ b/features/gateway/explaining.feature
@@ -1,7 +1,6 @@
 Feature: From a failed request's id to its cause, by logs alone
 
-  # Somebody complains the day after. Those on call have the id and the logs of the gateways, and
-  # nothing that they could ask any more.
+  # A failed request must be explainable afterwards from its id and the gateways' logs alone.
 
   Scenario: No backend server was there
     Given a site with 1 plain server and a ready gateway
@@ -35,8 +34,7 @@
     Then every event, cause and metric that the operations page names exists
 
   Scenario: Nobody reads the log
-    # The collector of the logs has stopped reading. The gateway must go on answering, and must not
-    # hold more for the collector than a bounded part of its memory.
+    # A log collector that stops reading must neither block the gateway nor exhaust its memory.
     Given a site with 1 plain server and a ready gateway whose log nobody reads
     When 3000 callers ask for "/list/1", 50 at once
     Then all of them were answered
--- a/features/gateway/explaining.steps.ts
+++ b/features/gateway/explaining.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of explaining requests from logs.
+ * Diagnosis of requests from the logs of gateways.
  */
 import assert from 'node:assert/strict';
 import { readFile } from 'node:fs/promises';
@@ -13,8 +13,8 @@
 import { Site } from './site.js';
 import type { GatewayWorld } from './world.js';
 
-const PAGE = 'docs/OPERATIONS.md';
-const SUPPRESSED = /^yuccasail_gateway_log_lines_suppressed_total (\d+)$/m;
+const OPERATIONS_PAGE = 'docs/OPERATIONS.md';
+const SUPPRESSED_LINES = /^yuccasail_gateway_log_lines_suppressed_total (\d+)$/m;
 
 function explain({ gateway }: GatewayWorld, id: string): Finding {
   return explainRequest(
@@ -46,7 +46,7 @@
 );
 
 Then('every event, cause and metric that the operations page names exists', async () => {
-  const page = await readFile(PAGE, 'utf8');
+  const page = await readFile(OPERATIONS_PAGE, 'utf8');
   const known = new Set(
     [LOG_EVENTS, CAUSES, ERRORS].flatMap((catalogue) => Object.keys(catalogue)),
   );
@@ -65,7 +65,7 @@
   }
 });
 
-/** Values that the lines on the page hold. */
+/** Field names of the example log lines on the page. */
 function listFields(page: string): string[] {
   const lines = page.split('\n').filter((line) => line.startsWith('{'));
   return lines.flatMap((line) => Object.keys(JSON.parse(line) as object));
@@ -107,6 +107,6 @@
   await waitFor('lines left out', async () => {
     await this.site.ask(this.gateway, { path: '/list/1' });
     const { body } = await this.site.ask(this.gateway, { path: '/metrics' }, this.gateway.metrics);
-    return Number(SUPPRESSED.exec(body)?.[1]) > 0;
+    return Number(SUPPRESSED_LINES.exec(body)?.[1]) > 0;
   });
 });
--- a/features/gateway/forwarding.steps.ts
+++ b/features/gateway/forwarding.steps.ts
@@ -51,7 +51,7 @@
 
 function findFault(what: string): EngineFault {
   const fault = FAULTS[what];
-  if (!fault) throw new Error(`no server can do this: ${what}`);
+  if (!fault) throw new Error(`unknown server fault: ${what}`);
   return fault;
 }
 
@@ -73,7 +73,7 @@
   assert.ok(first);
   first.crash();
   this.site.store.remove('servers', first.options.id);
-  await waitFor('the gateway to know', () =>
+  await waitFor('the gateway to notice the lost server', () =>
     this.gateway.lines.some(({ name }) => name === 'serverGone'),
   );
 });
--- a/features/gateway/placing.steps.ts
+++ b/features/gateway/placing.steps.ts
@@ -1,6 +1,5 @@
 /**
- * Placing of requests by many gateways, without network: the decisions of each against replicas that
- * take a fixed time for each request.
+ * Simulation of many gateways that place requests on replicas with a fixed service time.
  */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
@@ -16,13 +15,13 @@
 
 interface PlacingWorld {
   gateways: number;
-  newsEveryMs: number;
+  loadUpdateIntervalMs: number;
   targets: Target[];
   ratePerSecond: number;
-  /** The most that any replica had at once, sampled. */
-  most: number[];
+  /** Samples of the highest number of requests at one replica. */
+  peakInFlight: number[];
   isEligible: (target: Target) => boolean;
-  compared: number[];
+  candidateCounts: number[];
   chosen: Target[];
 }
 
@@ -31,7 +30,7 @@
 const STEP_MS = 10;
 const WARM_UP_MS = 3_000;
 const MS_PER_SECOND = 1_000;
-const HOME = 'zone-0';
+const HOME_DOMAIN = 'zone-0';
 
 function createTargets(count: number, failureDomains: number): Target[] {
   return Array.from({ length: count }, (_, index): Target => {
@@ -42,34 +41,36 @@
   });
 }
 
-/** One gateway: what it has under way itself, and what it last heard of all others. */
-class ModelGateway {
-  readonly own = new Map<string, number>();
-  private others = new Map<string, number>();
-  private readonly list: TargetList;
+/** A gateway with its own requests in flight and the last reported load of all others. */
+class SimulatedGateway {
+  readonly ownInFlight = new Map<string, number>();
+  private otherInFlight = new Map<string, number>();
+  private readonly targets: TargetList;
 
   constructor(
     targets: readonly Target[],
     private readonly failureDomain: string,
     private readonly random: Random,
   ) {
-    this.list = splitByPlace(targets, failureDomain);
+    this.targets = splitByPlace(targets, failureDomain);
   }
 
-  hear(total: ReadonlyMap<string, number>): void {
-    this.others = new Map([...total].map(([id, count]) => [id, count - (this.own.get(id) ?? 0)]));
+  receiveLoad(total: ReadonlyMap<string, number>): void {
+    this.otherInFlight = new Map(
+      [...total].map(([id, count]) => [id, count - (this.ownInFlight.get(id) ?? 0)]),
+    );
   }
 
   choose(): Target | undefined {
-    const states = drawTargets(this.list, (target) => this.describe(target), this.random);
+    const states = drawTargets(this.targets, (target) => this.describeTarget(target), this.random);
     return chooseTarget(states, this.random)?.target;
   }
 
-  private describe(target: Target): TargetState {
+  private describeTarget(target: Target): TargetState {
     const { id, failureDomain } = target.server;
     return {
       target,
-      inFlight: (this.own.get(id) ?? 0) + (this.others.get(id) ?? 0),
+      inFlight: (this.ownInFlight.get(id) ?? 0) + (this.otherInFlight.get(id) ?? 0),
       slots: SLOTS,
       isRemote: failureDomain !== this.failureDomain,
       failing: 0,
@@ -77,15 +78,15 @@
   }
 }
 
-function add(counts: Map<string, number>, id: string, change: number): void {
+function adjustCount(counts: Map<string, number>, id: string, change: number): void {
   counts.set(id, (counts.get(id) ?? 0) + change);
 }
 
 Given(
   '{int} gateways that hear of each other every {int} ms',
-  function (this: PlacingWorld, gateways: number, newsEveryMs: number) {
+  function (this: PlacingWorld, gateways: number, loadUpdateIntervalMs: number) {
     this.gateways = gateways;
-    this.newsEveryMs = newsEveryMs;
+    this.loadUpdateIntervalMs = loadUpdateIntervalMs;
   },
 );
 
@@ -103,37 +104,37 @@
     const random = createRandom(seed);
     const gateways = Array.from(
       { length: this.gateways },
-      (_, index) => new ModelGateway(this.targets, `zone-${index % 3}`, random),
+      (_, index) => new SimulatedGateway(this.targets, `zone-${index % 3}`, random),
     );
     const total = new Map<string, number>();
-    const ends: { at: number; gateway: ModelGateway; id: string }[] = [];
-    this.most = [];
+    const completions: { at: number; gateway: SimulatedGateway; id: string }[] = [];
+    this.peakInFlight = [];
     for (let now = 0; now < seconds * MS_PER_SECOND; now += STEP_MS) {
-      while (ends[0] !== undefined && ends[0].at <= now) {
-        const { gateway, id } = ends.shift() ?? ends[0];
-        add(gateway.own, id, -1);
-        add(total, id, -1);
+      while (completions[0] !== undefined && completions[0].at <= now) {
+        const { gateway, id } = completions.shift() ?? completions[0];
+        adjustCount(gateway.ownInFlight, id, -1);
+        adjustCount(total, id, -1);
       }
       gateways.forEach((gateway, index) => {
-        const phase = (index * this.newsEveryMs) / this.gateways;
-        if ((now - phase) % this.newsEveryMs < STEP_MS) gateway.hear(total);
-        const arrives = (this.ratePerSecond * STEP_MS) / MS_PER_SECOND / this.gateways;
-        if (random.fraction() >= arrives) return;
+        const phase = (index * this.loadUpdateIntervalMs) / this.gateways;
+        if ((now - phase) % this.loadUpdateIntervalMs < STEP_MS) gateway.receiveLoad(total);
+        const arrivalProbability = (this.ratePerSecond * STEP_MS) / MS_PER_SECOND / this.gateways;
+        if (random.fraction() >= arrivalProbability) return;
         const target = gateway.choose();
         if (target === undefined) return;
         const { id } = target.server;
-        add(gateway.own, id, 1);
-        add(total, id, 1);
-        ends.push({ at: now + SERVICE_MS, gateway, id });
+        adjustCount(gateway.ownInFlight, id, 1);
+        adjustCount(total, id, 1);
+        completions.push({ at: now + SERVICE_MS, gateway, id });
       });
-      if (now >= WARM_UP_MS) this.most.push(Math.max(...total.values()));
+      if (now >= WARM_UP_MS) this.peakInFlight.push(Math.max(...total.values()));
     }
   },
 );
 
 Then('no replica ever has more requests than places', function (this: PlacingWorld) {
-  const most = Math.max(...this.most);
-  assert.ok(most <= SLOTS, `${most} requests at ${SLOTS} places`);
+  const peak = Math.max(...this.peakInFlight);
+  assert.ok(peak <= SLOTS, `${peak} requests at ${SLOTS} places`);
 });
 
 Given(
@@ -145,29 +146,29 @@
 );
 
 Given('only one replica of another failure domain can be chosen', function (this: PlacingWorld) {
-  const [only] = splitByPlace(this.targets, HOME).far;
+  const [only] = splitByPlace(this.targets, HOME_DOMAIN).far;
   this.isEligible = (target) => target === only;
 });
 
 When('a gateway with late news chooses {int} times', function (this: PlacingWorld, times: number) {
   const random = createRandom(1);
-  const list = splitByPlace(this.targets, HOME);
-  const review = (target: Target): Target | undefined =>
+  const list = splitByPlace(this.targets, HOME_DOMAIN);
+  const evaluate = (target: Target): Target | undefined =>
     this.isEligible(target) ? target : undefined;
-  const draws = Array.from({ length: times }, () => drawTargets(list, review, random));
-  this.compared = draws.map((targets) => targets.length);
+  const draws = Array.from({ length: times }, () => drawTargets(list, evaluate, random));
+  this.candidateCounts = draws.map((targets) => targets.length);
   this.chosen = draws.flatMap((targets) => targets.slice(0, 1));
 });
 
 Then(
   'it compares at most {int} replicas for each request',
-  function (this: PlacingWorld, most: number) {
-    assert.ok(Math.max(...this.compared) <= most);
+  function (this: PlacingWorld, limit: number) {
+    assert.ok(Math.max(...this.candidateCounts) <= limit);
   },
 );
 
 Then('each replica of its own failure domain is chosen', function (this: PlacingWorld) {
-  const { near } = splitByPlace(this.targets, HOME);
+  const { near } = splitByPlace(this.targets, HOME_DOMAIN);
   const missing = near.filter((target) => !this.chosen.includes(target));
   assert.deepEqual(missing, []);
 });
--- a/features/gateway/quarantine-decisions.steps.ts
+++ b/features/gateway/quarantine-decisions.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Which request ended the servers, decided without sockets.
+ * Decisions of the quarantine table, without a network.
  */
 import assert from 'node:assert/strict';
 import { Before, Given, Then, When } from '@cucumber/cucumber';
@@ -13,9 +13,9 @@
   model: PeeringModel;
 }
 
-const REQUEST = 'x';
-/** Longer than all reports of one end take. */
-const APART_MS = 5_000;
+const FINGERPRINT = 'x';
+/** Longer than reports of one server's end take to arrive. */
+const END_INTERVAL_MS = 5_000;
 
 Before({ tags: '@quarantine-table' }, function (this: DecisionWorld) {
   this.table = new QuarantineTable();
@@ -27,7 +27,7 @@
   return { kind: 'serverEnded', fingerprint, server, ageMs };
 }
 
-function see(world: DecisionWorld, fingerprint: string, servers: readonly string[]): void {
+function recordEnds(world: DecisionWorld, fingerprint: string, servers: readonly string[]): void {
   for (const server of servers) {
     world.fingerprints.add(fingerprint);
     world.table.record(endReport(fingerprint, server), world.now);
@@ -38,7 +38,7 @@
   return [...list.matchAll(/"(\w+)"/g)].map(([, name = '']) => name);
 }
 
-function checkQuarantined({ table, now }: DecisionWorld, expected: readonly string[]): void {
+function assertQuarantined({ table, now }: DecisionWorld, expected: readonly string[]): void {
   const names = table.listQuarantined(now).map(({ fingerprint }) => fingerprint);
   assert.deepEqual(names, expected);
 }
@@ -46,7 +46,7 @@
 Given(
   /^a request "(\w)" that (?:ended|was at the ends of) the servers (.*)$/,
   function (this: DecisionWorld, fingerprint: string, servers: string) {
-    see(this, fingerprint, parseNames(servers));
+    recordEnds(this, fingerprint, parseNames(servers));
   },
 );
 
@@ -61,40 +61,40 @@
 );
 
 When('a server {string} ends under {string}', function (this: DecisionWorld, server, fingerprint) {
-  this.now += APART_MS;
-  see(this, String(fingerprint), [String(server)]);
+  this.now += END_INTERVAL_MS;
+  recordEnds(this, String(fingerprint), [String(server)]);
 });
 
 When(
   'it is answered, and a server {string} ends under it',
   function (this: DecisionWorld, server: string) {
-    this.now += APART_MS;
-    this.table.record({ kind: 'answered', fingerprint: REQUEST, ageMs: 0 }, this.now);
+    this.now += END_INTERVAL_MS;
+    this.table.record({ kind: 'answered', fingerprint: FINGERPRINT, ageMs: 0 }, this.now);
     assert.ok(this.table.listOwnReports(this.now).some(({ kind }) => kind === 'answered'));
-    this.now += APART_MS;
-    see(this, REQUEST, [server]);
+    this.now += END_INTERVAL_MS;
+    recordEnds(this, FINGERPRINT, [server]);
   },
 );
 
 Then(
   '{int} more answers after the next tell the other gateways nothing more',
   function (this: DecisionWorld, answers: number) {
-    const answer = { kind: 'answered', fingerprint: REQUEST, ageMs: 0 } as const;
+    const answer = { kind: 'answered', fingerprint: FINGERPRINT, ageMs: 0 } as const;
     this.table.record(answer, this.now);
-    const told = this.table.listOwnReports(this.now).length;
+    const reportCount = this.table.listOwnReports(this.now).length;
     for (let index = 0; index < answers; index += 1) this.table.record(answer, this.now);
-    assert.equal(this.table.listOwnReports(this.now).length, told);
+    assert.equal(this.table.listOwnReports(this.now).length, reportCount);
   },
 );
 
 When(/^the servers (.*) end under it$/, function (this: DecisionWorld, servers: string) {
-  this.now += APART_MS;
-  see(this, REQUEST, parseNames(servers));
+  this.now += END_INTERVAL_MS;
+  recordEnds(this, FINGERPRINT, parseNames(servers));
 });
 
 When('another gateway tells that it was answered', function (this: DecisionWorld) {
-  this.now += APART_MS;
-  this.table.learn({ kind: 'answered', fingerprint: REQUEST, ageMs: 200 }, this.now);
+  this.now += END_INTERVAL_MS;
+  this.table.learn({ kind: 'answered', fingerprint: FINGERPRINT, ageMs: 200 }, this.now);
 });
 
 When(
@@ -115,7 +115,7 @@
     const before = this.now;
     for (const span of [oneMs, otherMs]) {
       this.now = before + span;
-      see(this, fingerprint, ['a']);
+      recordEnds(this, fingerprint, ['a']);
     }
   },
 );
@@ -127,13 +127,14 @@
 When(
   '{int} requests are each at the end of one server, and {string} at three',
   function (this: DecisionWorld, requests: number, name: string) {
-    see(this, name, ['a', 'b', 'c']);
-    for (let index = 0; index < requests; index += 1) see(this, `other-${index}`, [`s-${index}`]);
+    recordEnds(this, name, ['a', 'b', 'c']);
+    for (let index = 0; index < requests; index += 1)
+      recordEnds(this, `other-${index}`, [`s-${index}`]);
   },
 );
 
 Then('only {string} is in quarantine', function (this: DecisionWorld, name: string) {
-  checkQuarantined(this, [name]);
+  assertQuarantined(this, [name]);
 });
 
 Then('{string} is in quarantine', function (this: DecisionWorld, name: string) {
@@ -141,28 +142,28 @@
 });
 
 Then('nothing is in quarantine', function (this: DecisionWorld) {
-  checkQuarantined(this, []);
+  assertQuarantined(this, []);
 });
 
 Then(
   'nothing is in quarantine, also where a third gateway still tells of it',
   function (this: DecisionWorld) {
-    const told = { fingerprint: REQUEST, ageMs: APART_MS, leftMs: 500_000 };
-    assert.equal(this.table.learnQuarantine(told, this.now), false);
-    checkQuarantined(this, []);
+    const quarantined = { fingerprint: FINGERPRINT, ageMs: END_INTERVAL_MS, leftMs: 500_000 };
+    assert.equal(this.table.learnQuarantine(quarantined, this.now), false);
+    assertQuarantined(this, []);
   },
 );
 
 Then(
   'at most {int} of them are remembered, {string} among them',
-  function (this: DecisionWorld, most: number, name: string) {
-    assert.ok(this.table.size <= most, `${this.table.size} are remembered`);
-    checkQuarantined(this, [name]);
+  function (this: DecisionWorld, limit: number, name: string) {
+    assert.ok(this.table.size <= limit, `${this.table.size} are remembered`);
+    assertQuarantined(this, [name]);
   },
 );
 
-Then('a digest tells of at most {int} of them', function (this: DecisionWorld, most: number) {
-  assert.ok(this.table.listOwnReports(this.now).length <= most);
+Then('a digest tells of at most {int} of them', function (this: DecisionWorld, limit: number) {
+  assert.ok(this.table.listOwnReports(this.now).length <= limit);
 });
 
 When(
@@ -171,18 +172,18 @@
     const { gateways } = this.model;
     const reporters = [0, 1, 2].map((part) => gateways[Math.floor((part * gateways.length) / 3)]);
     reporters.forEach((gateway, index) => {
-      if (gateway) gateway.reports = [endReport(REQUEST, `server-${index}`)];
+      if (gateway) gateway.reports = [endReport(FINGERPRINT, `server-${index}`)];
     });
   },
 );
 
 Then('all know of the three ends {int} ms later', function (this: DecisionWorld, ms: number) {
   this.model.run(ms);
-  const lacking = this.model.gateways.filter(
+  const uninformed = this.model.gateways.filter(
     ({ endsHeard, reports }) => endsHeard.size + reports.length < 3,
   );
   assert.deepEqual(
-    lacking.map(({ name }) => name),
+    uninformed.map(({ name }) => name),
     [],
   );
 });
--- a/features/gateway/quarantine.steps.ts
+++ b/features/gateway/quarantine.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that end the backend servers which run them.
+ * Quarantine of requests that crash backend servers.
  */
 import assert from 'node:assert/strict';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -14,10 +14,10 @@
   plans: GatewayPlan[];
 }
 
-/** Servers that have to end under a request before it may be known. */
-const ENOUGH_ENDS = 3;
-const ENDING_BODY = 'ends whoever runs it';
-const BACK_AFTER_MS = 1_500;
+/** Servers that a request must crash before it is quarantined. */
+const QUARANTINE_THRESHOLD = 3;
+const CRASHING_BODY = 'ends whoever runs it';
+const RESTART_AFTER_MS = 1_500;
 const DOMAIN_SIZE = 4;
 const GATEWAY_KIND = 'gateways';
 
@@ -26,7 +26,7 @@
   streams: '/chat/slots',
 };
 
-function askWith(path: string, body: string): Ask {
+function createAsk(path: string, body: string): Ask {
   return { method: 'POST', path, body };
 }
 
@@ -35,15 +35,15 @@
   const domain = `domain-${Math.floor(index / DOMAIN_SIZE)}`;
   const kind = isEngine ? { service: 'models', domain } : { service: 'app' };
   const server = await site.addServer({ id, ...kind });
-  server.fault = { kind: 'endUnder', body: ENDING_BODY, backAfterMs: BACK_AFTER_MS };
+  server.fault = { kind: 'endUnder', body: CRASHING_BODY, backAfterMs: RESTART_AFTER_MS };
 }
 
-/** All that was sent to servers of the request that ends them. */
-function listEnding({ site }: QuarantineWorld): Arrival[] {
-  return site.journal.filter(({ body }) => body === ENDING_BODY);
+/** Arrivals of the crashing request at servers. */
+function listCrashingArrivals({ site }: QuarantineWorld): Arrival[] {
+  return site.journal.filter(({ body }) => body === CRASHING_BODY);
 }
 
-function hasHeard(gateway: GatewayProcess, others: number): boolean {
+function hasHeardPeers(gateway: GatewayProcess, others: number): boolean {
   return gateway.lines.filter(({ name }) => name === 'peerHeard').length >= others;
 }
 
@@ -52,7 +52,9 @@
   site.gateways.length = 0;
   for (const gateway of await Promise.all(plans.map((plan) => site.launch(plan)))) {
     await site.whenReady(gateway);
-    await waitFor('the gateways to hear each other', () => hasHeard(gateway, plans.length - 1));
+    await waitFor('the gateways to hear each other', () =>
+      hasHeardPeers(gateway, plans.length - 1),
+    );
   }
 }
 
@@ -85,7 +87,7 @@
       const gateway = site.gateways[index % site.gateways.length];
       assert.ok(gateway);
       this.lastId = site.nextId();
-      asked.push(site.ask(gateway, askWith(path, ENDING_BODY)));
+      asked.push(site.ask(gateway, createAsk(path, CRASHING_BODY)));
       await sleep(everyMs);
     }
     await Promise.allSettled(asked);
@@ -93,7 +95,7 @@
 );
 
 When('the store knows that it is in quarantine', async function (this: QuarantineWorld) {
-  await waitFor('the store to know', () =>
+  await waitFor('the store to hold the quarantine', () =>
     this.plans.some(({ name }) => {
       const entry = this.site.store.read(GATEWAY_KIND, name) as { quarantined: unknown[] };
       return entry.quarantined.length > 0;
@@ -110,14 +112,14 @@
 
 Then(
   'it reached servers at most {int} times later than {int} ms after the third had ended under it',
-  function (this: QuarantineWorld, most: number, graceMs: number) {
-    const arrivals = listEnding(this);
+  function (this: QuarantineWorld, maxSent: number, toleranceMs: number) {
+    const arrivals = listCrashingArrivals(this);
     const ends = arrivals.flatMap(({ endedAt }) => endedAt ?? []).sort((a, b) => a - b);
-    const third = ends[ENOUGH_ENDS - 1];
+    const third = ends[QUARANTINE_THRESHOLD - 1];
     assert.ok(third !== undefined, `${ends.length} servers ended`);
-    const late = arrivals.filter(({ at }) => at > third + graceMs);
+    const late = arrivals.filter(({ at }) => at > third + toleranceMs);
     this.log(`${late.length} sendings later than that, ${ends.length} servers ended in all`);
-    assert.ok(late.length <= most, `${late.length} sendings more, ${ends.length} ends in all`);
+    assert.ok(late.length <= maxSent, `${late.length} sendings more, ${ends.length} ends in all`);
   },
 );
 
@@ -125,12 +127,12 @@
   'it is refused as not run, with a time to come back, at each gateway',
   async function (this: QuarantineWorld) {
     for (const gateway of this.site.gateways) {
-      const before = listEnding(this).length;
-      const answer = await this.site.ask(gateway, askWith(this.path, ENDING_BODY));
+      const before = listCrashingArrivals(this).length;
+      const answer = await this.site.ask(gateway, createAsk(this.path, CRASHING_BODY));
       assert.equal(answer.status, 503, answer.body);
       assert.match(answer.body, /quarantined/);
       assert.ok(Number(answer.headers['retry-after']) > 0);
-      assert.equal(listEnding(this).length, before);
+      assert.equal(listCrashingArrivals(this).length, before);
     }
   },
 );
@@ -140,8 +142,8 @@
   async function (this: QuarantineWorld) {
     for (const gateway of this.site.gateways) {
       const answer = await waitFor('an answer', async () => {
-        const one = await this.site.ask(gateway, askWith(this.path, 'ordinary'));
-        return one.status === 200 && one;
+        const reply = await this.site.ask(gateway, createAsk(this.path, 'ordinary'));
+        return reply.status === 200 && reply;
       });
       assert.ok(answer.whole);
     }
--- a/features/gateway/replies.steps.ts
+++ b/features/gateway/replies.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Answers to callers, as their sockets see them.
+ * Responses to callers, observed on the sockets of the callers.
  */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
@@ -11,8 +11,8 @@
 interface ReplyWorld {
   replyServer: Server;
   reply: Reply;
-  /** Whether the caller takes its answer for whole. */
-  isWhole: Promise<boolean>;
+  /** Whether the caller takes the response for complete. */
+  isComplete: Promise<boolean>;
 }
 
 const LAST_CHUNK = '0\r\n\r\n';
@@ -27,20 +27,20 @@
   async function (this: ReplyWorld, mark: string) {
     this.replyServer = createServer((_request, response) => {
       this.reply = createReply(response, () => false);
-      this.reply.begin(200, [], mark === 'its connection');
+      this.reply.start(200, [], mark === 'its connection');
       this.reply.write(Buffer.from('a part'));
     });
     this.replyServer.listen(0, '127.0.0.1');
     await once(this.replyServer, 'listening');
     const caller = connect((this.replyServer.address() as AddressInfo).port, '127.0.0.1');
     caller.write('GET / HTTP/1.1\r\nHost: passes.example\r\n\r\n');
-    this.isWhole = readToEnd(caller, mark === 'chunks');
+    this.isComplete = isCompleteResponse(caller, mark === 'chunks');
     await once(caller, 'data');
   },
 );
 
-/** A regular end counts as that of the answer, unless the last chunk is missing. */
-function readToEnd(caller: Socket, isChunked: boolean): Promise<boolean> {
+/** A response counts as complete on a regular close, unless its last chunk is missing. */
+function isCompleteResponse(caller: Socket, isChunked: boolean): Promise<boolean> {
   let text = '';
   return new Promise((resolve) => {
     caller.on('data', (bytes) => {
@@ -56,9 +56,9 @@
 }
 
 When('it is cut', function (this: ReplyWorld) {
-  this.reply.cut();
+  this.reply.abort();
 });
 
 Then('its caller sees that it is not whole', async function (this: ReplyWorld) {
-  assert.equal(await this.isWhole, false);
+  assert.equal(await this.isComplete, false);
 });
--- a/features/gateway/soak.steps.ts
+++ b/features/gateway/soak.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Short runs of the fault soak.
+ * Short runs of the fault injection soak test.
  */
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
@@ -9,7 +9,7 @@
   report: SoakReport;
 }
 
-/** Beyond the faults: they end, everything recovers, processes stop. */
+/** Includes recovery and shutdown after the faults. */
 const STEP_TIMEOUT_MS = 60_000;
 
 When(
--- a/features/gateway/stopping.steps.ts
+++ b/features/gateway/stopping.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Gateways that are told to stop: what their callers get, and what the logs tell of it.
+ * Graceful shutdown of gateways: the responses that callers get, and the logs.
  */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
@@ -13,7 +13,7 @@
 import { KEY } from './stand-ins/configuration.js';
 import type { GatewayWorld } from './world.js';
 
-/** One request of a caller and what came of it; no answer when the connection brought none. */
+/** One request of a caller with its response; undefined when the connection closed without one. */
 interface Attempt {
   id: string;
   answer: Answer | undefined;
@@ -21,23 +21,23 @@
 
 interface StoppingWorld extends GatewayWorld {
   attempts: Attempt[];
-  other: GatewayProcess;
-  /** Its body is half sent. */
+  otherGateway: GatewayProcess;
+  /** A request whose body is partly sent. */
   outgoing: ClientRequest;
-  half: Promise<Attempt>;
+  halfSent: Promise<Attempt>;
 }
 
 const EVENT_GAP_MS = 100;
-/** Longer than any stream here, so that the deadline ends none. */
+/** Longer than any stream of these scenarios. */
 const DEADLINE_MS = 7_000;
-/** Around the end of the grace: a busy machine runs timers late. */
-const NEARLY_MS = 500;
-const ENDS: ReadonlySet<unknown> = new Set([
+/** Tolerance around the end of the grace period, for late timers on a busy machine. */
+const GRACE_TOLERANCE_MS = 500;
+const END_EVENTS: ReadonlySet<unknown> = new Set([
   'requestAnswered',
   'requestEnded',
   'requestRefusedAtDoor',
 ]);
-const STREAM = {
+const STREAM_REQUEST = {
   method: 'POST',
   path: '/chat/talk',
   headers: { 'Deadline-Ms': String(DEADLINE_MS) },
@@ -67,7 +67,7 @@
   return gateway;
 }
 
-/** Asks and keeps what came of it; a connection that brought no answer is kept as such. */
+/** Sends a request and records its response, or that there was none. */
 async function ask(
   world: StoppingWorld,
   request: Ask,
@@ -79,8 +79,8 @@
   return answer;
 }
 
-/** Tells the gateway to stop and resolves when it has begun to. */
-async function tellToStop(gateway: GatewayProcess): Promise<void> {
+/** Sends SIGTERM and resolves when the shutdown has started. */
+async function startShutdown(gateway: GatewayProcess): Promise<void> {
   gateway.signal('SIGTERM');
   await waitFor('the gateway to stop', () =>
     gateway.lines.some(({ name }) => name === 'gatewayStopping'),
@@ -101,14 +101,14 @@
   async function (this: StoppingWorld, ms: number) {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
     await ask(this, { path: '/nothing/here', agent });
-    await tellToStop(this.gateway);
+    await startShutdown(this.gateway);
     await sleep(ms);
-    await ask(this, { ...STREAM, agent });
+    await ask(this, { ...STREAM_REQUEST, agent });
     agent.destroy();
   },
 );
 
-function isPromise({ status, whole, headers }: Answer): boolean {
+function isRetryableRefusal({ status, whole, headers }: Answer): boolean {
   return (
     whole && status === 503 && headers.connection === 'close' && Number(headers['retry-after']) >= 0
   );
@@ -119,12 +119,12 @@
   function (this: StoppingWorld) {
     const last = this.attempts.at(-1);
     assert.ok(last?.answer);
-    if (isPromise(last.answer)) assert.deepEqual(this.site.ranAt(last.id), []);
+    if (isRetryableRefusal(last.answer)) assert.deepEqual(this.site.ranAt(last.id), []);
     else assert.ok(last.answer.whole && last.answer.status === 200, JSON.stringify(last.answer));
   },
 );
 
-/** All lines of all gateways, which have ended by then. */
+/** Stops all gateways and returns all of their log lines. */
 async function readLogs({ site }: StoppingWorld): Promise<GatewayProcess['lines']> {
   for (const gateway of site.gateways) gateway.signal('SIGTERM');
   await Promise.all(site.gateways.map(({ exited }) => exited));
@@ -135,25 +135,25 @@
   const lines = await readLogs(this);
   for (const { id, answer } of this.attempts) {
     const own = lines.filter(({ request }) => request === id);
-    // A connection that was closed before the request was read leaves nothing to tell of.
+    // A connection that closed before the request was read leaves no log lines.
     if (answer === undefined && own.length === 0) continue;
-    const ends = own.filter(({ name }) => ENDS.has(name));
+    const ends = own.filter(({ name }) => END_EVENTS.has(name));
     assert.equal(ends.length, 1, `${id} has the lines ${JSON.stringify(own)}`);
   }
 });
 
 Given('another ready gateway', async function (this: StoppingWorld) {
-  this.other = await this.site.startGateway();
-  await this.site.whenReady(this.other);
+  this.otherGateway = await this.site.startGateway();
+  await this.site.whenReady(this.otherGateway);
 });
 
 When(
   'a caller reads a stream, and its gateway is told to stop',
   async function (this: StoppingWorld) {
     this.lastId = this.site.nextId();
-    const asked = ask(this, STREAM);
+    const asked = ask(this, STREAM_REQUEST);
     await waitFor('the stream at its engine', () => this.site.ranAt(this.lastId).length > 0);
-    await tellToStop(this.gateway);
+    await startShutdown(this.gateway);
     await asked;
   },
 );
@@ -169,14 +169,14 @@
     );
     assert.equal(end?.outcome, 'cut');
     assert.equal(end.reason, 'the gateway stopped');
-    assert.ok(Math.abs(Number(end.graceLeftMs)) < NEARLY_MS, String(end.graceLeftMs));
+    assert.ok(Math.abs(Number(end.graceLeftMs)) < GRACE_TOLERANCE_MS, String(end.graceLeftMs));
   },
 );
 
 Then('the rest of the stream comes from the other gateway', async function (this: StoppingWorld) {
   const before = readIds(this.attempts[0]?.answer?.body ?? '');
-  const headers = { ...STREAM.headers, 'Last-Event-Id': String(before.at(-1)) };
-  const rest = await ask(this, { ...STREAM, headers }, this.other);
+  const headers = { ...STREAM_REQUEST.headers, 'Last-Event-Id': String(before.at(-1)) };
+  const rest = await ask(this, { ...STREAM_REQUEST, headers }, this.otherGateway);
   assert.ok(rest?.whole);
   const events = this.site.servers[0]?.options.events ?? 0;
   const all = Array.from({ length: events }, (_, index) => index + 1);
@@ -189,7 +189,7 @@
   assert.equal(explainRequest(this.lastId, parseLines(text)).cause, cause);
 });
 
-/** Ids of whole events. */
+/** Ids of complete events. */
 function readIds(body: string): number[] {
   const whole = body.slice(0, body.lastIndexOf('\n\n') + 1);
   return [...whole.matchAll(/^id: (\d+)$/gm)].map(([, id]) => Number(id));
@@ -211,9 +211,9 @@
   'a caller asks for {string}, and the gateway is told to stop while its server works',
   async function (this: StoppingWorld, path: string) {
     this.lastId = this.site.nextId();
-    const asked = ask(this, { path, headers: STREAM.headers });
+    const asked = ask(this, { path, headers: STREAM_REQUEST.headers });
     await waitFor('the request at its server', () => this.site.ranAt(this.lastId).length > 0);
-    await tellToStop(this.gateway);
+    await startShutdown(this.gateway);
     await asked;
   },
 );
@@ -229,9 +229,8 @@
   },
 );
 
-const HALF = 'half';
-/** The rest of a body that belongs to no other request. */
-const REST = 'rest';
+const BODY_START = 'half';
+const BODY_REST = 'rest';
 
 When(
   'a caller sends half of a body to {string}, and the gateway is told to stop',
@@ -247,20 +246,20 @@
         host: 'passes.example',
         'Attempt-Id': this.lastId,
         'Deadline-Ms': String(DEADLINE_MS),
-        'Content-Length': String(HALF.length + REST.length),
+        'Content-Length': String(BODY_START.length + BODY_REST.length),
         Authorization: `Bearer ${KEY}`,
       },
     });
-    this.half = readHalf(this.lastId, this.outgoing);
-    this.outgoing.write(HALF);
+    this.halfSent = readResponse(this.lastId, this.outgoing);
+    this.outgoing.write(BODY_START);
     await once(this.outgoing, 'socket');
-    // Read by the gateway before the signal: what comes later on another connection is answered.
+    // A response on a later connection shows that the gateway has read the first part of the body.
     await this.site.ask(this.gateway, { path: '/nothing/here' });
-    await tellToStop(this.gateway);
+    await startShutdown(this.gateway);
   },
 );
 
-async function readHalf(id: string, outgoing: ClientRequest): Promise<Attempt> {
+async function readResponse(id: string, outgoing: ClientRequest): Promise<Attempt> {
   try {
     const [incoming] = (await once(outgoing, 'response')) as [IncomingMessage];
     let body = '';
@@ -273,17 +272,17 @@
 }
 
 When('the caller sends the rest', async function (this: StoppingWorld) {
-  this.outgoing.end(REST);
-  this.attempts.push(await this.half);
+  this.outgoing.end(BODY_REST);
+  this.attempts.push(await this.halfSent);
 });
 
 When('the caller sends no more', async function (this: StoppingWorld) {
-  this.attempts.push(await this.half);
+  this.attempts.push(await this.halfSent);
 });
 
 When('the caller leaves within its body', async function (this: StoppingWorld) {
   this.outgoing.destroy();
-  this.attempts.push(await this.half);
+  this.attempts.push(await this.halfSent);
 });
 
 Then('its request is answered and runs once', function (this: StoppingWorld) {
@@ -295,7 +294,7 @@
 
 Then('its request is refused with a promise in time', async function (this: StoppingWorld) {
   const answer = this.attempts[0]?.answer;
-  assert.ok(answer && isPromise(answer), JSON.stringify(answer));
+  assert.ok(answer && isRetryableRefusal(answer), JSON.stringify(answer));
   assert.deepEqual(this.site.ranAt(this.lastId), []);
   const end = (await readLogs(this)).find(({ request }) => request === this.lastId);
   assert.equal(end?.name, 'requestRefusedAtDoor');
@@ -308,15 +307,15 @@
   assert.deepEqual(this.site.ranAt(this.lastId), []);
 });
 
-const CALLERS = [
+const CALLER_REQUESTS = [
   { path: '/list/1' },
   { path: '/check/1' },
-  { method: 'POST', path: '/check/2', body: HALF },
-  STREAM,
-  STREAM,
+  { method: 'POST', path: '/check/2', body: BODY_START },
+  STREAM_REQUEST,
+  STREAM_REQUEST,
 ] as const satisfies readonly Ask[];
-/** Between two requests of a caller: keeps the log within its budget of lines. */
-const PAUSE_MS = 60;
+/** Pause between two requests of a caller; keeps the log below its rate limit. */
+const REQUEST_INTERVAL_MS = 60;
 
 Given(
   'a site with streams and calls, and {int} ready gateways with a grace of {int} ms',
@@ -328,15 +327,19 @@
   },
 );
 
-/** Asks on kept connections until told to go elsewhere, at one gateway after the other. */
-async function keepAsking(world: StoppingWorld, request: Ask, signal: AbortSignal): Promise<void> {
+/** Sends requests on one connection and moves to the next gateway when it is closed. */
+async function askContinuously(
+  world: StoppingWorld,
+  request: Ask,
+  signal: AbortSignal,
+): Promise<void> {
   const { gateways } = world.site;
   const agent = new Agent({ keepAlive: true, maxSockets: 1 });
   let turn = 0;
   while (!signal.aborted) {
     const answer = await ask(world, { ...request, agent }, gateways[turn % gateways.length]);
     if (answer?.headers.connection !== 'keep-alive') turn += 1;
-    await sleep(PAUSE_MS);
+    await sleep(REQUEST_INTERVAL_MS);
   }
   agent.destroy();
 }
@@ -346,11 +349,14 @@
   async function (this: StoppingWorld, count: number, apartMs: number) {
     const { site } = this;
     const done = new AbortController();
-    const callers = CALLERS.map((request) => keepAsking(this, request, done.signal));
-    await waitFor('answers to all callers', () => this.attempts.length > 3 * CALLERS.length);
+    const callers = CALLER_REQUESTS.map((request) => askContinuously(this, request, done.signal));
+    await waitFor(
+      'answers to all callers',
+      () => this.attempts.length > 3 * CALLER_REQUESTS.length,
+    );
     const stopped = site.gateways.slice(0, count);
     for (const gateway of stopped) {
-      await tellToStop(gateway);
+      await startShutdown(gateway);
       for (const each of site.gateways) each.signal('SIGHUP');
       site.configure({ version: 3 + site.store.calls, route: { timeout_ms: DEADLINE_MS } });
       await sleep(apartMs);
@@ -366,7 +372,7 @@
   assert.ok(answers.some(({ status }) => status === 200));
   for (const answer of answers) {
     const isGood = answer.whole && answer.status === 200;
-    assert.ok(isGood || isPromise(answer), JSON.stringify(answer));
+    assert.ok(isGood || isRetryableRefusal(answer), JSON.stringify(answer));
   }
 });
 
--- a/features/gateway/streams.steps.ts
+++ b/features/gateway/streams.steps.ts
@@ -41,7 +41,7 @@
   },
 );
 
-/** Begins a stream and resolves when its first bytes are there. */
+/** Starts a stream and resolves when its response headers have arrived. */
 async function beginStream(world: GatewayWorld): Promise<RunningStream> {
   const [host, port] = world.gateway.callers.split(':');
   const id = world.site.nextId();
@@ -70,7 +70,7 @@
   try {
     for await (const chunk of incoming) body += String(chunk);
   } catch {
-    // A broken answer shows as not complete.
+    // An aborted response has `complete` set to false.
   }
   const { statusCode: status = 0, headers, complete: whole } = incoming;
   return { status, headers, body, whole };
--- a/features/gateway/waiting.steps.ts
+++ b/features/gateway/waiting.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Decisions about waiting requests, without a network and on made-up time.
+ * Queueing decisions, with a simulated clock and without a network.
  */
 import assert from 'node:assert/strict';
 import { Given, Then, When, type DataTable } from '@cucumber/cucumber';
@@ -15,17 +15,17 @@
 import type { Milliseconds } from '../../src/core/clock/index.js';
 import type { EngineProfile, GroupModel } from '../../src/ports/index.js';
 
-interface Named extends WaitingRequest {
+interface NamedRequest extends WaitingRequest {
   name: string;
 }
 
 interface WaitingWorld {
   now: Milliseconds;
-  line: Named[];
+  queue: NamedRequest[];
   arrivals: Milliseconds[];
-  aimMs: Milliseconds;
-  everyMs: Milliseconds;
-  firstMs: Milliseconds;
+  targetMs: Milliseconds;
+  sendIntervalMs: Milliseconds;
+  firstEventMs: Milliseconds;
   target: { inFlight: number; slots: number };
   firstEvents: FirstEventTimes;
   peers: PeerTable;
@@ -38,41 +38,47 @@
 
 Given(
   '{int} requests a second for {int} s that are to begin within {int} ms, and {int} places a second',
-  function (this: WaitingWorld, rate: number, seconds: number, aimMs: number, places: number) {
+  function (
+    this: WaitingWorld,
+    rate: number,
+    seconds: number,
+    targetMs: number,
+    slotsPerSecond: number,
+  ) {
     const gapMs = SECOND_MS / rate;
     this.arrivals = Array.from({ length: rate * seconds }, (_, index) => index * gapMs);
-    this.aimMs = aimMs;
-    this.everyMs = SECOND_MS / places;
+    this.targetMs = targetMs;
+    this.sendIntervalMs = SECOND_MS / slotsPerSecond;
   },
 );
 
 When(
   'their first events take {int} ms from the sending on',
-  function (this: WaitingWorld, firstMs: number) {
-    this.firstMs = firstMs;
+  function (this: WaitingWorld, firstEventMs: number) {
+    this.firstEventMs = firstEventMs;
   },
 );
 
-/** Part of the requests that were sent at all whose first events come in time. */
-function playLine(
-  { arrivals, aimMs, everyMs, firstMs }: WaitingWorld,
-  pick: (waiting: readonly Named[], now: Milliseconds) => Named | undefined,
+/** Returns the fraction of sent requests whose first event arrives in time. */
+function simulateQueue(
+  { arrivals, targetMs, sendIntervalMs, firstEventMs }: WaitingWorld,
+  pick: (waiting: readonly NamedRequest[], now: Milliseconds) => NamedRequest | undefined,
 ): number {
-  let waiting: Named[] = [];
+  let waiting: NamedRequest[] = [];
   let arrived = 0;
   let sent = 0;
   let inTime = 0;
-  for (let now = 0; now <= (arrivals.at(-1) ?? 0); now += everyMs) {
+  for (let now = 0; now <= (arrivals.at(-1) ?? 0); now += sendIntervalMs) {
     for (; (arrivals[arrived] ?? Infinity) <= now; arrived += 1) {
       const since = arrivals[arrived] ?? 0;
-      const onTimeUntil = since + aimMs - firstMs;
+      const onTimeUntil = since + targetMs - firstEventMs;
       waiting.push({ name: '', rank: 1, since, onTimeUntil, worthUntil: Infinity });
     }
     const next = pick(waiting, now);
     if (next === undefined) continue;
     waiting = waiting.filter((each) => each !== next);
     sent += 1;
-    if (now + firstMs - next.since <= aimMs) inTime += 1;
+    if (now + firstEventMs - next.since <= targetMs) inTime += 1;
   }
   return inTime / sent;
 }
@@ -80,16 +86,16 @@
 Then(
   'at least {int} in 100 of those that were sent in the order of the line begin in time',
   function (this: WaitingWorld, percent: number) {
-    const part = playLine(this, (waiting, now) => orderLine(waiting, now)[0]);
-    assert.ok(part >= percent / 100, String(part));
+    const fraction = simulateQueue(this, (waiting, now) => orderLine(waiting, now)[0]);
+    assert.ok(fraction >= percent / 100, String(fraction));
   },
 );
 
 Then(
   'in the order of arrival at most {int} in 100 would',
   function (this: WaitingWorld, percent: number) {
-    const part = playLine(this, (waiting) => waiting[0]);
-    assert.ok(part <= percent / 100, String(part));
+    const fraction = simulateQueue(this, (waiting) => waiting[0]);
+    assert.ok(fraction <= percent / 100, String(fraction));
   },
 );
 
@@ -97,7 +103,7 @@
   'a line of these requests at {int} ms',
   function (this: WaitingWorld, now: number, table: DataTable) {
     this.now = now;
-    this.line = table.hashes().map((row) => ({
+    this.queue = table.hashes().map((row) => ({
       name: row.name ?? '',
       rank: Number(row.rank),
       since: Number(row.since),
@@ -108,7 +114,7 @@
 );
 
 Then('their turns are {string}', function (this: WaitingWorld, turns: string) {
-  const names = orderLine(this.line, this.now).map(({ name }) => name);
+  const names = orderLine(this.queue, this.now).map(({ name }) => name);
   assert.equal(names.join(', '), turns);
 });
 
@@ -116,7 +122,7 @@
   'a line of {int} requests at {int} ms that are worth an answer until {int} ms',
   function (this: WaitingWorld, count: number, now: number, worthUntil: number) {
     this.now = now;
-    this.line = Array.from({ length: count }, (_, index) => ({
+    this.queue = Array.from({ length: count }, (_, index) => ({
       name: String(index),
       rank: 1,
       since: index,
@@ -130,14 +136,14 @@
   'none is refused while the line is younger than {int} ms',
   function (this: WaitingWorld, ageMs: number) {
     const pace = { since: this.now - ageMs + 1, sent: 0 };
-    assert.deepEqual(listHopeless(orderLine(this.line, this.now), this.now, pace), []);
+    assert.deepEqual(listHopeless(orderLine(this.queue, this.now), this.now, pace), []);
   },
 );
 
 Then(
   '{int} are refused after {int} ms in which {int} were sent, which leaves one at once and twice their pace',
   function (this: WaitingWorld, refused: number, ageMs: number, sent: number) {
-    const ordered = orderLine(this.line, this.now);
+    const ordered = orderLine(this.queue, this.now);
     const hopeless = listHopeless(ordered, this.now, { since: this.now - ageMs, sent });
     assert.equal(hopeless.length, refused);
     assert.deepEqual(hopeless, ordered.slice(-hopeless.length));
@@ -145,8 +151,8 @@
 );
 
 Then('all are refused at {int} ms', function (this: WaitingWorld, now: number) {
-  const hopeless = listHopeless(orderLine(this.line, now), now, { since: now, sent: 0 });
-  assert.equal(hopeless.length, this.line.length);
+  const hopeless = listHopeless(orderLine(this.queue, now), now, { since: now, sent: 0 });
+  assert.equal(hopeless.length, this.queue.length);
 });
 
 Given(
@@ -170,15 +176,15 @@
 });
 
 Then('a replica is suspected after {int} ms', function (this: WaitingWorld, ms: number) {
-  const usualMs = this.firstEvents.expect(MODEL, 300);
-  assert.equal(Math.round(firstEventAfter(PROFILE, PLAIN_MODEL, 0, usualMs)), ms);
+  const expectedMs = this.firstEvents.expect(MODEL, 300);
+  assert.equal(Math.round(firstEventAfter(PROFILE, PLAIN_MODEL, 0, expectedMs)), ms);
 });
 
 Given(
   'a gateway that has just started and knows of {int} others',
   function (this: WaitingWorld, others: number) {
-    this.peers = new PeerTable(placeOf(0));
-    for (let index = 1; index <= others; index += 1) this.peers.learn(placeOf(index), 0);
+    this.peers = new PeerTable(peerOf(0));
+    for (let index = 1; index <= others; index += 1) this.peers.learn(peerOf(index), 0);
   },
 );
 
@@ -194,7 +200,7 @@
   },
 );
 
-function placeOf(index: number) {
+function peerOf(index: number) {
   return {
     name: `gateway-${index}`,
     address: `127.0.0.1:${7_000 + index}`,
@@ -204,7 +210,7 @@
 
 function digestOf(index: number): Digest {
   return {
-    ...placeOf(index),
+    ...peerOf(index),
     incarnation: 'first',
     storeReachable: true,
     stopping: false,
--- a/src/gateway/backends/attempt.ts
+++ b/src/gateway/backends/attempt.ts
@@ -20,7 +20,7 @@
 }
 
 /** The head of an answer that belongs to the request. */
-export interface AttemptAnswer extends AnswerHead {
+export interface AttemptResponse extends AnswerHead {
   status: number;
   headers: string[];
   /** How the end of the body is told: by its length, by chunks, or by the end of the connection. */
@@ -36,7 +36,7 @@
 
 /** What is told of an attempt: a head, data and an end, or a failure at any point. */
 export interface AttemptObserver {
-  onAnswer(answer: AttemptAnswer): void;
+  onResponse(answer: AttemptResponse): void;
   onData(chunk: Buffer): void;
   onEnd(): void;
   onFailure(failure: AttemptFailure): void;
@@ -64,7 +64,7 @@
   private readonly connection: BackendConnection;
   private controller: Dispatcher.DispatchController | undefined;
   private isOver = false;
-  private framing: AttemptAnswer['framing'] = 'length';
+  private framing: AttemptResponse['framing'] = 'length';
   private bytes = 0;
   private expectedBytes: number | undefined;
   private closesAfter = false;
@@ -84,7 +84,7 @@
     try {
       this.connection.client.dispatch(
         {
-          method: method,
+          method,
           path,
           headers,
           body: body ?? null,
@@ -129,7 +129,7 @@
       return;
     }
     this.readFraming(headers);
-    this.observer.onAnswer({ ...head, status, headers, framing: this.framing });
+    this.observer.onResponse({ ...head, status, headers, framing: this.framing });
   }
 
   private readFraming(headers: readonly string[]): void {
--- a/src/gateway/requests/admission.ts
+++ b/src/gateway/requests/admission.ts
@@ -1,5 +1,5 @@
 /**
- * From the head of a request to what may be sent on, or why not.
+ * Admission: resolves a request's route, workspace, service and model, or rejects it.
  */
 import type { IncomingMessage } from 'node:http';
 import { err, ok, type Result } from 'neverthrow';
@@ -14,14 +14,14 @@
 import type { GatewayContext } from '../types.js';
 import type { RequestHead } from './types.js';
 
-/** A gateway without a configuration gets one within this time, unless the store is away. */
+/** A new gateway loads its configuration within this time if the store is reachable. */
 const NO_CONFIGURATION_RETRY_MS: Milliseconds = 500;
 
 /**
- * Checks a request against the configuration in force.
+ * Checks a request against the active configuration.
  *
- * Fails with `notReady` while no version is known: only then may a request be refused that the
- * configuration allows, and with a status that lets the caller come back.
+ * Fails with the retryable `notReady` before the first configuration is loaded, because the request
+ * may well be allowed.
  */
 export function admitRequest(
   context: GatewayContext,
@@ -37,8 +37,12 @@
   const route = index.routes.match(incoming.headers.host ?? '', path);
   if (route === undefined) return err(createFailure('routeUnknown', { name: path }));
   const caller = context.platform.requests.decodeRequest(incoming.rawHeaders);
-  const holder = findHolder(index, caller);
-  if (index.keyHolders && holder === undefined && !(route.anonymous && caller.key === undefined)) {
+  const keyHolder = findKeyHolder(index, caller);
+  if (
+    index.keyHolders &&
+    keyHolder === undefined &&
+    !(route.anonymous && caller.key === undefined)
+  ) {
     return err(createFailure('workspaceUnknown'));
   }
   const name = pickService(route, context.random);
@@ -52,7 +56,7 @@
   if (service.engine && model === undefined) {
     return err(createFailure('modelUnknown', { name: caller.model ?? '' }));
   }
-  const waitMs = Math.min(route.timeoutMs, caller.deadlineMs ?? Infinity);
+  const timeoutMs = Math.min(route.timeoutMs, caller.deadlineMs ?? Infinity);
   return ok({
     id: caller.id ?? '(none)',
     caller,
@@ -60,12 +64,12 @@
     route,
     service,
     ...(model && { model }),
-    ...(holder && { holder }),
+    ...(keyHolder && { keyHolder }),
     arrivedAt,
-    answerBy: arrivedAt + waitMs,
+    deadline: arrivedAt + timeoutMs,
   });
 }
 
-function findHolder(index: ServingIndex, caller: CallerRequest): KeyHolder | undefined {
+function findKeyHolder(index: ServingIndex, caller: CallerRequest): KeyHolder | undefined {
   return caller.key === undefined ? undefined : index.keyHolders?.get(caller.key);
 }
--- a/src/gateway/requests/backends.ts
+++ b/src/gateway/requests/backends.ts
@@ -1,5 +1,5 @@
 /**
- * What the request path knows of the backend servers: load, stalls, failures; and its choice.
+ * Tracks load, stalls and failures of the backend servers and chooses targets for requests.
  */
 import {
   chooseTarget,
@@ -21,216 +21,220 @@
 import type { ServingService } from '../../ports/index.js';
 import type { GatewayContext } from '../types.js';
 
-/** A target with what spoke for it, for the logs. */
+/** A chosen target with the state that it was chosen by. */
 export interface ChosenTarget extends TargetState {
-  /** Targets that were compared. */
+  /** Number of targets that were compared. */
   candidates: number;
 }
 
-/** The request path's view of all backend servers. */
+/** This gateway's view of all backend servers. */
 export interface Backends {
   /**
-   * The best target that is neither excluded nor under suspicion; with `needsRoom` only one that can
-   * begin nearly at once.
+   * Returns the best target that is neither excluded nor suspected. With `requiresCapacity` it must
+   * be able to start the request almost immediately.
    */
   choose(
     service: ServingService,
     model: string | undefined,
     excluded: ReadonlySet<string>,
-    needsRoom?: boolean,
+    requiresCapacity?: boolean,
   ): ChosenTarget | undefined;
-  /** All targets, those under suspicion included. */
-  count(service: ServingService, model: string | undefined): number;
+  /** The number of all targets, including suspected ones. */
+  countTargets(service: ServingService, model: string | undefined): number;
+  /** Counts an attempt as in flight. */
   sent(server: string): void;
-  /** Of the server's former life first, where sendings of it are still under way. */
+  /** Ends an attempt; one to a previous process of the server first, if any is still in flight. */
   ended(server: string): void;
   inFlight(): ReadonlyMap<string, number>;
-  /** What was sent at `sentAt` went to a former life of the server. */
-  isFormer(server: string, sentAt: Milliseconds): boolean;
-  /** Something came from the server: it moves. */
+  /** Whether an attempt sent at `sentAt` went to a previous process of the server. */
+  isPreviousProcess(server: string, sentAt: Milliseconds): boolean;
+  /** Records that data arrived from the server, and clears a suspicion of it. */
   progressed(server: string): void;
   lastProgress(server: string): Milliseconds;
-  /** Nothing moves there, as `evidence` says. */
+  /** Marks the server as suspected of being stalled; `evidence` is logged. */
   suspect(server: string, evidence: string): void;
-  /** A peer found that nothing moves there; true when that is news and nothing has moved since. */
+  /** Adopts a peer's suspicion; returns false if it is known or outdated. */
   learnSuspicion(server: string, ageMs: Milliseconds, leftMs: Milliseconds): boolean;
+  /** Records the result of an attempt for the failure rate. */
   answered(server: string, failed: boolean): void;
+  /** Counts a request towards the retry budget of its service. */
   recordRequest(service: string): void;
-  /** A request was to be forwarded since the start. */
+  /** Whether a request was accepted for forwarding since the start. */
   hasServed(): boolean;
-  takeRepeat(service: string): boolean;
-  hasRepeat(service: string): boolean;
+  /** Takes one retry from the budget; returns false if it is exhausted. */
+  takeRetry(service: string): boolean;
+  hasRetryLeft(service: string): boolean;
   suspicions: SuspicionTable;
-  /** Called with each server that has begun another life under its id. */
+  /** Called with each server that has restarted under its id. */
   onRestart(listener: (server: string) => void): void;
-  /** Called with each server that newly came under suspicion here. */
+  /** Called with each server that this gateway newly suspects. */
   onSuspicion(listener: (server: string) => void): void;
 }
 
 export function createBackends(context: GatewayContext): Backends {
   const { board, clock, random, logger, metrics, settings } = context;
-  const load = new Map<string, number>();
+  const inFlightCounts = new Map<string, number>();
   /**
-   * Sendings to former lives that have not ended. Their news come under the id that the new life has:
-   * until the last has ended, no news under that id say anything of the new life. They end with their
-   * connections, or with the time of their requests.
+   * Attempts in flight to previous processes, by server id. While there are any, events can't be
+   * attributed to the current process with the same id and are ignored.
    */
-  const former = new Map<string, number>();
-  /** Servers whose last such sending ends just now: what it showed is told right after its end. */
-  const settling = new Set<string>();
-  const lives = new LifeTable();
+  const previousInFlight = new Map<string, number>();
+  /** Servers whose last such attempt has just ended and whose result may still be reported. */
+  const justEnded = new Set<string>();
+  const processes = new LifeTable();
   const progress = new ProgressTracker();
   const suspicions = new SuspicionTable();
   const failures = new FailureRates();
-  const budgets = new Map<string, RepeatBudget>();
-  let served = false;
-  const listeners: ((server: string) => void)[] = [];
+  const retryBudgets = new Map<string, RepeatBudget>();
+  let hasForwarded = false;
+  const suspicionListeners: ((server: string) => void)[] = [];
   const restartListeners: ((server: string) => void)[] = [];
   let directory: TargetDirectory = createTargetDirectory(
     board.fleet.read(),
     settings.failureDomain,
   );
-  let known = board.fleet.read();
-  lives.update(known.servers.keys(), known.servers, clock.now());
+  let previousFleet = board.fleet.read();
+  processes.update(previousFleet.servers.keys(), previousFleet.servers, clock.now());
   board.fleet.subscribe(() => {
     const fleet = board.fleet.read();
     const { changed, servers } = fleet;
-    for (const server of lives.update(changed, servers, clock.now())) beginLife(server);
-    clearRejoined(fleet);
+    for (const server of processes.update(changed, servers, clock.now())) handleRestart(server);
+    clearMovedSuspicions(fleet);
     for (const server of changed) {
       if (servers.has(server)) continue;
       progress.forget(server);
       failures.forget(server);
     }
-    known = fleet;
+    previousFleet = fleet;
     directory = createTargetDirectory(fleet, settings.failureDomain);
   });
 
-  /** A new life starts from nothing. */
-  const beginLife = (server: string): void => {
-    const under = (former.get(server) ?? 0) + (load.get(server) ?? 0);
-    if (under > 0) former.set(server, under);
-    load.delete(server);
+  /** Discards everything known about the previous process. */
+  const handleRestart = (server: string): void => {
+    const previousCount = (previousInFlight.get(server) ?? 0) + (inFlightCounts.get(server) ?? 0);
+    if (previousCount > 0) previousInFlight.set(server, previousCount);
+    inFlightCounts.delete(server);
     progress.forget(server);
     failures.forget(server);
     suspicions.clear(server, clock.now());
-    logger.log('serverRestarted', { server, formerInFlight: under });
+    logger.log('serverRestarted', { server, formerInFlight: previousCount });
     for (const listener of restartListeners) listener(server);
   };
-  /** Takes one off the sendings to `server` in `counts`. */
-  const countDown = (counts: Map<string, number>, server: string): void => {
+  const decrement = (counts: Map<string, number>, server: string): void => {
     const left = (counts.get(server) ?? 1) - 1;
     if (left > 0) counts.set(server, left);
     else counts.delete(server);
   };
-  const endFormer = (server: string): void => {
-    countDown(former, server);
-    if (former.has(server)) return;
-    settling.add(server);
-    queueMicrotask(() => settling.delete(server));
+  const endPreviousAttempt = (server: string): void => {
+    decrement(previousInFlight, server);
+    if (previousInFlight.has(server)) return;
+    justEnded.add(server);
+    queueMicrotask(() => justEnded.delete(server));
   };
-  /** Whether news under the id may be of a former life. */
-  const isUnsure = (server: string): boolean => former.has(server) || settling.has(server);
-  /** What was seen of a server in its old replica says nothing of the new one. */
-  const clearRejoined = (fleet: ServingFleet): void => {
+  /** Whether an event of the server may come from a previous process. */
+  const isAmbiguous = (server: string): boolean =>
+    previousInFlight.has(server) || justEnded.has(server);
+  /** Clears suspicions of servers that have moved to another replica. */
+  const clearMovedSuspicions = (fleet: ServingFleet): void => {
     const now = clock.now();
     for (const { server } of suspicions.listAll(now)) {
-      const before = known.servers.get(server)?.engine?.membership?.group;
-      if (fleet.servers.get(server)?.engine?.membership?.group !== before) {
+      const previousGroup = previousFleet.servers.get(server)?.engine?.membership?.group;
+      if (fleet.servers.get(server)?.engine?.membership?.group !== previousGroup) {
         suspicions.clear(server, now);
       }
     }
   };
   /**
-   * Guards against gateways that have all started anew and know nothing of each other: each takes all
-   * places for its own, and their callers come back together. Those not heard yet count as doing as
-   * this one does.
+   * Requests of all gateways in flight at the server. Gateways that have not reported yet are
+   * assumed to have as many as this one: after a common restart each would otherwise claim all slots.
    */
-  const countAll = (server: string): number => {
+  const estimateInFlight = (server: string): number => {
     const { byServer, unheard } = board.peerLoad.read();
-    return (load.get(server) ?? 0) * (1 + unheard) + (byServer.get(server) ?? 0);
+    return (inFlightCounts.get(server) ?? 0) * (1 + unheard) + (byServer.get(server) ?? 0);
   };
-  const describe = (target: Target, service: ServingService): TargetState => ({
+  const describeTarget = (target: Target, service: ServingService): TargetState => ({
     target,
-    inFlight: countAll(target.server.id),
+    inFlight: estimateInFlight(target.server.id),
     slots: service.engine?.slots ?? target.server.slots,
     isRemote: target.server.failureDomain !== settings.failureDomain,
     failing: failures.rateOf(target.server.id),
   });
   const isUsable = (target: Target, now: Milliseconds): boolean =>
     target.members.every((member) => !suspicions.isSuspect(member, now));
-  const budgetOf = (service: string): RepeatBudget => {
-    const known = budgets.get(service);
-    if (known) return known;
+  const retryBudgetOf = (service: string): RepeatBudget => {
+    const existing = retryBudgets.get(service);
+    if (existing) return existing;
     const created = new RepeatBudget(settings.retries);
-    budgets.set(service, created);
+    retryBudgets.set(service, created);
     return created;
   };
 
   return {
-    choose: (service, model, excluded, needsRoom = false) => {
+    choose: (service, model, excluded, requiresCapacity = false) => {
       const now = clock.now();
       const targets = directory.find(service, model);
-      const review = (target: Target): TargetState | undefined => {
+      const evaluate = (target: Target): TargetState | undefined => {
         if (excluded.has(target.server.id) || !isUsable(target, now)) return undefined;
-        const state = describe(target, service);
-        return needsRoom && !hasRoom(state) ? undefined : state;
+        const state = describeTarget(target, service);
+        return requiresCapacity && !hasRoom(state) ? undefined : state;
       };
       const states = board.peerLoad.read().isLate
-        ? drawTargets(targets, review, random)
-        : reviewAll(targets, review);
+        ? drawTargets(targets, evaluate, random)
+        : reviewAll(targets, evaluate);
       const chosen = chooseTarget(states, random);
       return chosen && { ...chosen, candidates: states.length };
     },
-    count: (service, model) => {
+    countTargets: (service, model) => {
       const { near, far } = directory.find(service, model);
       return near.length + far.length;
     },
     sent: (server) => {
-      load.set(server, (load.get(server) ?? 0) + 1);
+      inFlightCounts.set(server, (inFlightCounts.get(server) ?? 0) + 1);
     },
     ended: (server) => {
-      if (former.has(server)) endFormer(server);
-      else countDown(load, server);
+      if (previousInFlight.has(server)) endPreviousAttempt(server);
+      else decrement(inFlightCounts, server);
     },
-    inFlight: () => load,
-    isFormer: (server, sentAt) => sentAt < lives.since(server),
+    inFlight: () => inFlightCounts,
+    isPreviousProcess: (server, sentAt) => sentAt < processes.since(server),
     progressed: (server) => {
-      if (isUnsure(server)) return;
+      if (isAmbiguous(server)) return;
       const now = clock.now();
       progress.record(server, now);
       if (suspicions.clear(server, now)) logger.log('suspicionCleared', { server });
     },
     lastProgress: (server) => progress.lastProgress(server),
     suspect: (server, evidence) => {
-      if (isUnsure(server)) return;
+      if (isAmbiguous(server)) return;
       if (!suspicions.suspect(server, clock.now())) return;
       metrics.suspicions.inc();
       logger.log('serverSuspected', { server, evidence });
-      for (const listener of listeners) listener(server);
+      for (const listener of suspicionListeners) listener(server);
     },
     learnSuspicion: (server, ageMs, leftMs) => {
       const now = clock.now();
-      const foundAt = now - ageMs;
-      if (progress.lastProgress(server) > foundAt || foundAt < lives.since(server)) return false;
+      const suspectedAt = now - ageMs;
+      if (progress.lastProgress(server) > suspectedAt || suspectedAt < processes.since(server))
+        return false;
       return suspicions.learn(server, ageMs, leftMs, now);
     },
     answered: (server, failed) => {
-      if (!isUnsure(server)) failures.record(server, failed);
+      if (!isAmbiguous(server)) failures.record(server, failed);
     },
-    hasServed: () => served,
+    hasServed: () => hasForwarded,
     recordRequest: (service) => {
-      served = true;
-      budgetOf(service).recordRequest(clock.now());
+      hasForwarded = true;
+      retryBudgetOf(service).recordRequest(clock.now());
     },
-    takeRepeat: (service) => budgetOf(service).take(clock.now(), 1 + board.peers.read().size),
-    hasRepeat: (service) => budgetOf(service).hasLeft(clock.now(), 1 + board.peers.read().size),
+    takeRetry: (service) => retryBudgetOf(service).take(clock.now(), 1 + board.peers.read().size),
+    hasRetryLeft: (service) =>
+      retryBudgetOf(service).hasLeft(clock.now(), 1 + board.peers.read().size),
     suspicions,
     onRestart: (listener) => {
       restartListeners.push(listener);
     },
     onSuspicion: (listener) => {
-      listeners.push(listener);
+      suspicionListeners.push(listener);
     },
   };
 }
--- a/src/gateway/requests/fingerprint.ts
+++ b/src/gateway/requests/fingerprint.ts
@@ -1,22 +1,27 @@
 /**
- * What makes two attempts the same request, whoever sends them and whenever.
+ * Identifies attempts of the same request, across gateways and attempt ids.
  */
 import { createHash } from 'node:crypto';
 import type { AdmittedRequest } from './types.js';
 
-/** Hexadecimal digits, 64 bits: far too many for two requests to share one by chance. */
+/** Hexadecimal digits: 64 bits make collisions negligible. */
 const FINGERPRINT_DIGITS = 16;
 
-type Fingerprinted = Pick<AdmittedRequest, 'incoming' | 'caller' | 'holder' | 'body'>;
+type FingerprintInput = Pick<AdmittedRequest, 'incoming' | 'caller' | 'keyHolder' | 'body'>;
 
 /**
- * The same for each attempt of one caller with the same method, host, path and body. The workspace
- * stands for the caller, since it may change its key.
+ * Hashes method, host, path, body and caller. The caller is identified by its workspace if known,
+ * because a workspace can rotate its key.
  */
-export function computeFingerprint({ incoming, caller, holder, body }: Fingerprinted): string {
+export function computeFingerprint({
+  incoming,
+  caller,
+  keyHolder,
+  body,
+}: FingerprintInput): string {
   const { method, url, headers } = incoming;
-  const head = [method, headers.host, url, holder?.workspace ?? caller.key];
-  const hash = createHash('sha1').update(JSON.stringify(head));
+  const identity = [method, headers.host, url, keyHolder?.workspace ?? caller.key];
+  const hash = createHash('sha1').update(JSON.stringify(identity));
   if (body) hash.update(body);
   return hash.digest('hex').slice(0, FINGERPRINT_DIGITS);
 }
--- a/src/gateway/requests/quarantine.ts
+++ b/src/gateway/requests/quarantine.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps requests that end backend servers from being sent, together with the other gateways.
+ * Quarantines requests that crash backend servers, and shares the evidence with the other gateways.
  *
- * A sending that breaks off is no evidence by itself: connections break for many reasons. The server is
- * asked, and only when nothing of that life answers, its end is held against what it had.
+ * A broken connection alone is no evidence. The server is probed, and the requests that broke off
+ * there count as suspects only if its process has ended.
  */
 import { lifeKey } from '../../controllers/groups/index.js';
 import { collectReports, type Digest } from '../../controllers/peering/index.js';
@@ -16,107 +16,113 @@
 import type { EngineCalls } from '../backends/short-call.js';
 import type { GatewayContext } from '../types.js';
 
-/** The part of a digest that tells of requests under which servers end. */
-export type QuarantineNews = Pick<Digest, 'reports' | 'quarantined'>;
+/** The part of a peer digest about requests that crash servers. */
+export type QuarantineDigest = Pick<Digest, 'reports' | 'quarantined'>;
 
-/** Requests that are sent to no backend server. */
+/** Requests that are not sent to any backend server. */
 export interface Quarantine {
-  /** For how long the request is kept from all servers; undefined when it may be sent. */
+  /** Time left in quarantine; undefined when the request may be sent. */
   leftMs(fingerprint: string): Milliseconds | undefined;
-  /** A sending to this life of `server` broke off. */
+  /** Records that an attempt at this process of `server` broke off. */
   recordBroken(fingerprint: string, server: BackendServer): void;
-  /** A server answered the request in full. */
+  /** Records that a server responded to the request completely. */
   recordAnswered(fingerprint: string): void;
-  /** What other gateways are to be told. */
-  writeNews(): QuarantineNews;
-  /** What another gateway told. */
+  /** Reports and quarantined requests to send to other gateways. */
+  writeNews(): QuarantineDigest;
+  /** Merges the digest of another gateway. */
   takeNews(digest: Digest): void;
   list(): ToldQuarantine[];
-  /** Puts back what was in quarantine before a restart. */
+  /** Restores the requests that were in quarantine before a restart. */
   restore(quarantined: readonly ToldQuarantine[]): void;
-  /** Called when something was seen here that the other gateways should know at once. */
+  /** Called when this gateway has a new report that the others should get immediately. */
   onReport(listener: () => void): void;
-  /** Called when this gateway's own evidence has put a request into quarantine. */
+  /** Called when this gateway's own evidence has quarantined a request. */
   onQuarantine(listener: () => void): void;
 }
 
-/** Whether one life of a server has ended, and what broke off there meanwhile. */
-interface EndCheck {
+/** A check whether a server process has ended. */
+interface ExitCheck {
   startedAt: Milliseconds;
-  verdict: 'checking' | 'ended' | 'unproved';
-  waiting: Set<string>;
+  result: 'checking' | 'ended' | 'unconfirmed';
+  /** Fingerprints of requests that broke off at the server meanwhile. */
+  pending: Set<string>;
 }
 
-/** Sendings that break off at one server together are one question. */
-const CHECK_VALID_MS: Milliseconds = 500;
+/** Attempts that break off at one server within this time share one check. */
+const EXIT_CHECK_VALID_MS: Milliseconds = 500;
 
 export function createQuarantine(
   { clock, logger, metrics }: Pick<GatewayContext, 'clock' | 'logger' | 'metrics'>,
   calls: Pick<EngineCalls, 'probe'>,
 ): Quarantine {
   const table = new QuarantineTable();
-  const checks = new Map<string, EndCheck>();
+  const exitChecks = new Map<string, ExitCheck>();
   const reportListeners: (() => void)[] = [];
   const quarantineListeners: (() => void)[] = [];
 
-  const noteQuarantined = (fingerprint: string, source: string): void => {
+  const logQuarantined = (fingerprint: string, source: string): void => {
     metrics.quarantined.inc();
     const leftMs = Math.round(table.leftMs(fingerprint, clock.now()) ?? 0);
     logger.log('requestQuarantined', { fingerprint, source, leftMs });
   };
-  const recordEnd = (server: string, fingerprints: Iterable<string>): void => {
+  const recordServerExit = (server: string, fingerprints: Iterable<string>): void => {
     const now = clock.now();
-    const found = [...fingerprints].filter((fingerprint) =>
+    const newlyQuarantined = [...fingerprints].filter((fingerprint) =>
       table.record({ kind: 'serverEnded', fingerprint, server, ageMs: 0 }, now),
     );
-    for (const fingerprint of found) noteQuarantined(fingerprint, 'own evidence');
+    for (const fingerprint of newlyQuarantined) logQuarantined(fingerprint, 'own evidence');
     for (const listener of reportListeners) listener();
-    if (found.length > 0) for (const listener of quarantineListeners) listener();
+    if (newlyQuarantined.length > 0) for (const listener of quarantineListeners) listener();
   };
-  const runCheck = async (server: BackendServer, check: EndCheck): Promise<void> => {
+  const runExitCheck = async (server: BackendServer, check: ExitCheck): Promise<void> => {
     const outcome = await calls.probe(server);
-    check.verdict = outcome.kind === 'gone' ? 'ended' : 'unproved';
-    if (check.verdict === 'ended') {
-      const requests = check.waiting.size;
+    check.result = outcome.kind === 'gone' ? 'ended' : 'unconfirmed';
+    if (check.result === 'ended') {
+      const requests = check.pending.size;
       logger.log('serverEndedUnderRequests', { server: server.id, requests });
-      recordEnd(server.id, check.waiting);
+      recordServerExit(server.id, check.pending);
     }
-    check.waiting.clear();
+    check.pending.clear();
   };
-  const beginCheck = (server: BackendServer, life: string, now: Milliseconds): EndCheck => {
-    const check: EndCheck = { startedAt: now, verdict: 'checking', waiting: new Set() };
-    checks.set(life, check);
-    void runCheck(server, check);
+  const startExitCheck = (
+    server: BackendServer,
+    processKey: string,
+    now: Milliseconds,
+  ): ExitCheck => {
+    const check: ExitCheck = { startedAt: now, result: 'checking', pending: new Set() };
+    exitChecks.set(processKey, check);
+    void runExitCheck(server, check);
     return check;
   };
-  const dropOldChecks = (now: Milliseconds): void => {
-    for (const [life, { startedAt, verdict }] of checks) {
-      if (verdict !== 'checking' && now - startedAt >= CHECK_VALID_MS) checks.delete(life);
+  const pruneExitChecks = (now: Milliseconds): void => {
+    for (const [processKey, { startedAt, result }] of exitChecks) {
+      if (result !== 'checking' && now - startedAt >= EXIT_CHECK_VALID_MS)
+        exitChecks.delete(processKey);
     }
   };
-  const takeReport = (report: RequestReport, peer: string): void => {
-    if (table.learn(report, clock.now())) noteQuarantined(report.fingerprint, peer);
+  const mergeReport = (report: RequestReport, peer: string): void => {
+    if (table.learn(report, clock.now())) logQuarantined(report.fingerprint, peer);
   };
-  const takeQuarantined = (quarantined: readonly ToldQuarantine[], source: string): void => {
-    for (const told of quarantined) {
-      if (table.learnQuarantine(told, clock.now())) noteQuarantined(told.fingerprint, source);
+  const mergeQuarantined = (quarantined: readonly ToldQuarantine[], source: string): void => {
+    for (const entry of quarantined) {
+      if (table.learnQuarantine(entry, clock.now())) logQuarantined(entry.fingerprint, source);
     }
   };
   return {
     leftMs: (fingerprint) => table.leftMs(fingerprint, clock.now()),
     recordBroken: (fingerprint, server) => {
       const now = clock.now();
-      dropOldChecks(now);
-      const life = lifeKey(server);
-      const check = checks.get(life) ?? beginCheck(server, life, now);
-      switch (check.verdict) {
+      pruneExitChecks(now);
+      const processKey = lifeKey(server);
+      const check = exitChecks.get(processKey) ?? startExitCheck(server, processKey, now);
+      switch (check.result) {
         case 'checking':
-          check.waiting.add(fingerprint);
+          check.pending.add(fingerprint);
           break;
         case 'ended':
-          recordEnd(server.id, [fingerprint]);
+          recordServerExit(server.id, [fingerprint]);
           break;
-        case 'unproved':
+        case 'unconfirmed':
           break;
       }
     },
@@ -133,12 +139,12 @@
       };
     },
     takeNews: (digest) => {
-      for (const report of collectReports(digest)) takeReport(report, digest.name);
-      takeQuarantined(digest.quarantined ?? [], digest.name);
+      for (const report of collectReports(digest)) mergeReport(report, digest.name);
+      mergeQuarantined(digest.quarantined ?? [], digest.name);
     },
     list: () => table.listQuarantined(clock.now()),
     restore: (quarantined) => {
-      takeQuarantined(quarantined, 'store');
+      mergeQuarantined(quarantined, 'store');
     },
     onReport: (listener) => {
       reportListeners.push(listener);
--- a/src/gateway/requests/reply.ts
+++ b/src/gateway/requests/reply.ts
@@ -1,5 +1,5 @@
 /**
- * The caller's side of one exchange.
+ * The HTTP response to a caller.
  */
 import type { ServerResponse } from 'node:http';
 import { renderFailure } from '../../adapters/callers/answers.js';
@@ -7,46 +7,47 @@
 import { ERRORS, type Failure } from '../../core/errors/index.js';
 import { hardReset } from '../../core/sockets/index.js';
 
-/** An answer to one request. Exactly one of `sendWhole`, `fail`, `end` or `cut` ends it. */
+/** The response to one request; ended by exactly one of `send`, `sendFailure`, `end` or `abort`. */
 export interface Reply {
-  /** Nothing of the answer has been sent yet. */
+  /** No byte of the response has been sent yet. */
   readonly isUnsent: boolean;
-  sendWhole(status: number, headers: readonly string[], body: Buffer): void;
+  /** Sends a complete response with a `Content-Length`. */
+  send(status: number, headers: readonly string[], body: Buffer): void;
   /**
-   * Starts an answer whose length is not known. `endsWithConnection`: it has no other mark of its
-   * end, as it had none when it came.
+   * Starts a response of unknown length: close-delimited if `isCloseDelimited`, otherwise with
+   * chunked encoding.
    */
-  begin(status: number, headers: readonly string[], endsWithConnection: boolean): void;
-  /** False when the caller reads more slowly than data comes; `onDrain` tells when to go on. */
+  start(status: number, headers: readonly string[], isCloseDelimited: boolean): void;
+  /** Returns false when the write buffer is full; `onDrain` signals when to continue. */
   write(bytes: Buffer): boolean;
   onDrain(listener: () => void): void;
   end(): void;
-  /** Answers with a failure of our own. */
-  fail(failure: Failure, requestId: string): void;
-  /** Ends the connection: what was sent must not look whole. */
-  cut(): void;
+  /** Sends an error response of the gateway. */
+  sendFailure(failure: Failure, requestId: string): void;
+  /** Closes the connection so that the caller sees an incomplete response. */
+  abort(): void;
 }
 
 const MS_PER_SECOND = 1_000;
-/** For the rest of a body that nobody reads: what callers' sockets and links hold is through by then. */
+/** Longest wait for the rest of a request body that is not used. */
 const LINGER_MS: Milliseconds = 1_000;
 
-export function createReply(response: ServerResponse, isStopping: () => boolean): Reply {
-  const closing = (): string[] => (isStopping() ? ['Connection', 'close'] : []);
-  let isEndedByConnection = false;
+export function createReply(response: ServerResponse, isShuttingDown: () => boolean): Reply {
+  const closeHeaders = (): string[] => (isShuttingDown() ? ['Connection', 'close'] : []);
+  let isCloseDelimited = false;
   return {
     get isUnsent() {
       return !response.headersSent;
     },
-    sendWhole: (status, headers, body) => {
+    send: (status, headers, body) => {
       const length = ['Content-Length', String(body.length)];
-      response.writeHead(status, [...headers, ...length, ...closing()]);
+      response.writeHead(status, [...headers, ...length, ...closeHeaders()]);
       response.end(body);
     },
-    begin: (status, headers, endsWithConnection) => {
-      isEndedByConnection = endsWithConnection;
-      if (endsWithConnection) response.useChunkedEncodingByDefault = false;
-      const close = endsWithConnection ? ['Connection', 'close'] : closing();
+    start: (status, headers, closeDelimited) => {
+      isCloseDelimited = closeDelimited;
+      if (closeDelimited) response.useChunkedEncodingByDefault = false;
+      const close = closeDelimited ? ['Connection', 'close'] : closeHeaders();
       response.writeHead(status, [...headers, ...close]);
     },
     write: (bytes) => response.write(bytes),
@@ -56,32 +57,31 @@
     end: () => {
       response.end();
     },
-    fail: (failure, requestId) => {
+    sendFailure: (failure, requestId) => {
       const body = Buffer.from(JSON.stringify(renderFailure(failure, requestId)));
       const headers = ['Content-Type', 'application/json', 'Content-Length', String(body.length)];
       if (failure.retryAfterMs !== undefined) {
-        // Fractions: a whole second is most of what a caller at a gate has left.
+        // Fractional seconds: callers with short deadlines can't wait for a whole second.
         headers.push('Retry-After', (failure.retryAfterMs / MS_PER_SECOND).toFixed(2));
       }
-      response.writeHead(ERRORS[failure.kind].status, [...headers, ...closing()]);
-      if (isStopping() && !response.req.complete) endAfterBody(response, body);
+      response.writeHead(ERRORS[failure.kind].status, [...headers, ...closeHeaders()]);
+      if (isShuttingDown() && !response.req.complete) endAfterRequestBody(response, body);
       else response.end(body);
     },
-    cut: () => {
-      // A regular close is the proper end of an answer that ends with its connection.
-      if (isEndedByConnection) hardReset(response.socket);
+    abort: () => {
+      // A regular close would mark a close-delimited response as complete.
+      if (isCloseDelimited) hardReset(response.socket);
       else response.destroy();
     },
   };
 }
 
 /**
- * Sends a whole answer now and closes the connection once the rest of the request has come.
+ * Sends the response and closes the connection once the rest of the request body was received.
  *
- * Guards against an answer that its caller never sees: a socket that is closed with bytes unread
- * resets the connection, and the reset overtakes what was sent.
+ * Closing a socket with unread bytes resets the connection, and the caller may lose the response.
  */
-function endAfterBody(response: ServerResponse, body: Buffer): void {
+function endAfterRequestBody(response: ServerResponse, body: Buffer): void {
   response.write(body);
   const end = (): void => {
     clearTimeout(timer);
--- a/src/gateway/requests/request-body.ts
+++ b/src/gateway/requests/request-body.ts
@@ -1,40 +1,43 @@
 /**
- * Reading a request's body whole.
+ * Buffers a request body up to a size limit.
  */
 import type { IncomingMessage } from 'node:http';
 
-/** A body, or why there is none. */
-export type BodyRead =
+/** The body, or why it could not be read. */
+export type BodyResult =
   | { kind: 'read'; body: Buffer | undefined }
   | { kind: 'tooLarge' }
-  /** The caller left before the end. */
+  /** The caller disconnected before the end of the body. */
   | { kind: 'aborted' }
-  /** It was not whole when it was given up here. */
-  | { kind: 'givenUp' };
+  /** `cancel` was called before the end of the body. */
+  | { kind: 'cancelled' };
 
-/** A body that is being read. */
-export interface BodyReading {
-  result: Promise<BodyRead>;
-  /** Waits for it no longer; what still comes is dropped. Nothing happens once there is a result. */
-  giveUp(): void;
+/** A read in progress. */
+export interface BodyReader {
+  result: Promise<BodyResult>;
+  /** Stops waiting and discards the rest of the body. Does nothing once there is a result. */
+  cancel(): void;
 }
 
-/** The body of `incoming`; undefined inside when the request has none. Keeps no more than `maxBytes`. */
-export function readBody(incoming: IncomingMessage, maxBytes: number): BodyReading {
+/**
+ * Reads the body of `incoming` and buffers at most `maxBytes`. `body` is undefined when the request
+ * has none.
+ */
+export function readBody(incoming: IncomingMessage, maxBytes: number): BodyReader {
   let chunks: Buffer[] = [];
   let bytes = 0;
-  let settle: (read: BodyRead) => void = () => undefined;
-  const result = new Promise<BodyRead>((resolve) => {
+  let settle: (outcome: BodyResult) => void = () => undefined;
+  const result = new Promise<BodyResult>((resolve) => {
     settle = resolve;
   });
-  const drop = (read: BodyRead): void => {
+  const discard = (outcome: BodyResult): void => {
     chunks = [];
     bytes = Infinity;
-    settle(read);
+    settle(outcome);
   };
   incoming.on('data', (chunk: Buffer) => {
     bytes += chunk.length;
-    if (bytes > maxBytes) drop({ kind: 'tooLarge' });
+    if (bytes > maxBytes) discard({ kind: 'tooLarge' });
     else chunks.push(chunk);
   });
   incoming.once('end', () => {
@@ -51,8 +54,8 @@
   });
   return {
     result,
-    giveUp: () => {
-      drop({ kind: 'givenUp' });
+    cancel: () => {
+      discard({ kind: 'cancelled' });
     },
   };
 }
--- a/src/gateway/requests/request-forwarder.ts
+++ b/src/gateway/requests/request-forwarder.ts
@@ -1,265 +1,272 @@
 /**
- * The life of one admitted request: sendings, repeats, and exactly one final answer.
+ * Forwards one admitted request: attempts, retries, and exactly one final response.
  *
- * A request that may run once is sent again only when the backend server has said that it did not
- * run it, or when no byte of it can have arrived. Everything else may be sent to another backend
- * server within the route's attempts and the budget of repeats.
+ * A request that must not run twice is retried only if the backend server reported that it did not
+ * run it, or if no byte of it was sent. Any other request may be retried at another backend server
+ * within the route's maximum of attempts and the retry budget.
  */
 import { EventStream, isRepeatable } from '../../controllers/forwarding/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import { createFailure, type Failure } from '../../core/errors/index.js';
-import type { AttemptAnswer, AttemptFailure, AttemptSender } from '../backends/attempt.js';
+import type { AttemptResponse, AttemptFailure, AttemptSender } from '../backends/attempt.js';
 import type { GatewayContext } from '../types.js';
-import { isGood, relayEvents, sendPlain } from './response-relay.js';
+import { isValidSuccess, relayEvents, sendBuffered } from './response-relay.js';
 import type { Backends, ChosenTarget } from './backends.js';
 import type { Reply } from './reply.js';
 import type { Quarantine } from './quarantine.js';
 import { RequestWait } from './request-wait.js';
-import { reportEnd, reportSent } from './request-report.js';
-import { Sending, type SendingOwner } from './tracked-attempt.js';
-import { limitsBeforeAnswer, limitsWithinAnswer } from './stall-limits.js';
-import { refuseStopped, STOPPED, type Stopping } from './shutdown.js';
+import { reportEnd, reportAttempt } from './request-report.js';
+import { TrackedAttempt, type AttemptOwner } from './tracked-attempt.js';
+import { limitsBeforeFirstEvent, limitsBetweenEvents } from './stall-limits.js';
+import { createStoppingFailure, SHUTDOWN_REASON, type ShutdownPolicy } from './shutdown.js';
 import type { AdmittedRequest, RequestOutcome } from './types.js';
-import type { WaitingLines } from './request-queues.js';
+import type { RequestQueues } from './request-queues.js';
 import type { Watchdog, WatchedRequest } from './watchdog.js';
 
-/** What a run needs beside its request. */
-export interface RunTools {
+/** What a forwarder shares with all others of its gateway. */
+export interface ForwarderDependencies {
   context: GatewayContext;
   backends: Backends;
   watchdog: Watchdog;
   send: AttemptSender;
-  stopping: Stopping;
-  lines: WaitingLines;
+  shutdown: ShutdownPolicy;
+  queues: RequestQueues;
   quarantine: Quarantine;
 }
 
-/** Sendings that backend servers refused unrun, beyond which a request is given up. */
-const MOST_REFUSALS = 4;
-/** A replica that is being formed opens within about this time. */
+/** A request fails after more refusals by backend servers than this. */
+const MAX_REFUSALS = 4;
+/** `Retry-After` without capacity: about the time that a new replica takes to open. */
 const RETRY_AFTER_MS: Milliseconds = 700;
-/** Of the time left, what a backend server is not given: the way back takes some of it. */
+/** Subtracted from the time that a backend server gets, for relaying its response. */
 const DEADLINE_MARGIN_MS: Milliseconds = 5;
-/** Less time than this is not worth a sending. */
-const LEAST_DEADLINE_MS: Milliseconds = 20;
+/** No attempt is started with less time left than this. */
+const MIN_ATTEMPT_MS: Milliseconds = 20;
 
-/** Drives one request. */
-export class RequestRun implements WatchedRequest, SendingOwner {
-  private readonly sendings = new Set<Sending>();
-  private readonly tried = new Set<string>();
+/** Drives one request to its final response. */
+export class RequestForwarder implements WatchedRequest, AttemptOwner {
+  private readonly attempts = new Set<TrackedAttempt>();
+  private readonly triedServers = new Set<string>();
   private readonly stream: EventStream | undefined;
   private readonly startedAt: Milliseconds;
-  /** Sendings that may have run. */
-  private runs = 0;
+  /** Ended attempts that a backend server may have executed. */
+  private possibleRuns = 0;
   private refusals = 0;
-  private sends = 0;
+  private attemptCount = 0;
   private isFinished = false;
   private readonly wait: RequestWait;
-  private firstByteAt: Milliseconds | undefined;
+  private firstEventAt: Milliseconds | undefined;
   private lastEventAt: Milliseconds | undefined;
-  /** A backend server's own failure, passed on when nothing better comes. */
-  private failedSending: Sending | undefined;
-  private lastReason = '';
+  /** The last attempt with a failure response, which is relayed if no retry succeeds. */
+  private failedAttempt: TrackedAttempt | undefined;
+  private lastFailureReason = '';
 
   constructor(
     private readonly request: AdmittedRequest,
     private readonly reply: Reply,
-    private readonly tools: RunTools,
+    private readonly deps: ForwarderDependencies,
     private readonly onFinish: () => void,
   ) {
-    this.startedAt = tools.context.clock.now();
-    this.wait = new RequestWait(request, tools.lines);
+    this.startedAt = deps.context.clock.now();
+    this.wait = new RequestWait(request, deps.queues);
     if (request.route.repeatability === 'stream') {
       this.stream = new EventStream(request.caller.lastEventId);
     }
   }
 
   start(): void {
-    this.tools.watchdog.requests.add(this);
-    this.tools.backends.recordRequest(this.request.service.name);
-    this.sendNext('first');
+    this.deps.watchdog.requests.add(this);
+    this.deps.backends.recordRequest(this.request.service.name);
+    this.sendNextAttempt('first');
   }
 
   /** The caller closed its connection. */
-  abandon(): void {
+  handleCallerDisconnect(): void {
     if (this.isFinished) return;
-    this.finish('callerGone', 'the caller left');
+    this.finish('callerGone', 'the caller disconnected');
   }
 
   onTick(now: Milliseconds): void {
     if (this.isFinished) return;
-    if (now >= this.request.answerBy) {
-      this.expire();
+    if (now >= this.request.deadline) {
+      this.handleDeadline();
       return;
     }
-    if (this.isQuarantined && !this.isAnswering) {
-      this.endQuarantined();
+    if (this.isQuarantined && !this.hasResponseStarted) {
+      this.failQuarantined();
       return;
     }
-    if (this.sendings.size === 0 && this.wait.mayTry(now)) this.sendNext('waited');
-    this.endWait(now);
+    if (this.attempts.size === 0 && this.wait.canRetry(now)) this.sendNextAttempt('waited');
+    this.checkWaitTimeout(now);
   }
 
-  /**
-   * A stream that may be resumed is let run until this moment. Ended sooner it would be broken off
-   * for certain, while most streams still end by themselves; and its caller, who goes on elsewhere
-   * after the last whole event that it has, needs the same new way at either time.
-   */
-  onGraceOver(): void {
+  /** Streams run until this moment: most end by themselves, and callers can resume the others. */
+  onShutdownDeadline(): void {
     if (this.isFinished) return;
-    if (!this.reply.isUnsent) this.cutStream(STOPPED);
+    if (!this.reply.isUnsent) this.abortStream(SHUTDOWN_REASON);
     else if (this.mayHaveRun) {
-      this.failWith(createFailure('outcomeUnknown', { reason: STOPPED }), 'failed', STOPPED);
-    } else this.failWith(refuseStopped(), 'refused', STOPPED);
+      this.respondWithFailure(
+        createFailure('outcomeUnknown', { reason: SHUTDOWN_REASON }),
+        'failed',
+        SHUTDOWN_REASON,
+      );
+    } else this.respondWithFailure(createStoppingFailure(), 'refused', SHUTDOWN_REASON);
   }
 
-  private endWait(now: Milliseconds): void {
-    if (this.isFinished || this.sendings.size > 0) return;
-    if (this.wait.isOver(now)) this.giveUp('no target in time');
+  private checkWaitTimeout(now: Milliseconds): void {
+    if (this.isFinished || this.attempts.size > 0) return;
+    if (this.wait.hasTimedOut(now)) this.failRequest('no target in time');
   }
 
   private get isQuarantined(): boolean {
-    return this.tools.quarantine.leftMs(this.request.fingerprint) !== undefined;
+    return this.deps.quarantine.leftMs(this.request.fingerprint) !== undefined;
   }
 
-  /** A backend server has begun to answer: it is not about to end under this request. */
-  private get isAnswering(): boolean {
-    return [...this.sendings].some(({ answer }) => answer !== undefined);
+  /** Whether a backend server has begun to respond; it is not expected to crash on this request. */
+  private get hasResponseStarted(): boolean {
+    return [...this.attempts].some(({ response }) => response !== undefined);
   }
 
   private get isRepeatable(): boolean {
     return isRepeatable(this.request.route);
   }
 
-  /** A backend server may have worked on it, or still does. */
+  /** Whether a backend server may have executed the request. */
   private get mayHaveRun(): boolean {
-    return this.runs > 0 || this.sendings.size > 0;
+    return this.possibleRuns > 0 || this.attempts.size > 0;
   }
 
   /**
-   * What a backend server may be given. No longer than a stop leaves: it ends its work then by itself
-   * and says so, instead of being cut off in the middle.
+   * Time that a backend server gets for an attempt. Ends before a shutdown does, so that the server
+   * gives up by itself with a proper response instead of being disconnected.
    */
-  private get sendableMs(): Milliseconds {
-    const { context, stopping } = this.tools;
-    const until = Math.min(this.request.answerBy, stopping.lastAnswerAt());
-    return until - context.clock.now() - DEADLINE_MARGIN_MS;
+  private get attemptBudgetMs(): Milliseconds {
+    const { context, shutdown } = this.deps;
+    const endsAt = Math.min(this.request.deadline, shutdown.responseDeadline());
+    return endsAt - context.clock.now() - DEADLINE_MARGIN_MS;
   }
 
-  // --- sending ---
+  // --- attempts ---
 
-  private sendNext(why: string): void {
-    const { request, tools } = this;
+  private sendNextAttempt(why: string): void {
+    const { request, deps } = this;
     const { service } = request;
     if (this.isQuarantined) {
-      if (this.sendings.size === 0) this.endQuarantined();
+      if (this.attempts.size === 0) this.failQuarantined();
       return;
     }
-    if (!this.mayHaveRun && !tools.stopping.mayBegin(request, tools.context.clock.now())) {
-      this.failWith(refuseStopped(), 'refused', STOPPED);
+    if (!this.mayHaveRun && !deps.shutdown.canStart(request, deps.context.clock.now())) {
+      this.respondWithFailure(createStoppingFailure(), 'refused', SHUTDOWN_REASON);
       return;
     }
-    if (this.sendableMs < LEAST_DEADLINE_MS) {
-      const isCutShort = tools.stopping.lastAnswerAt() < request.answerBy;
-      const reason = isCutShort ? STOPPED : 'too little time is left';
-      if (this.sendings.size === 0) this.giveUp(reason);
+    if (this.attemptBudgetMs < MIN_ATTEMPT_MS) {
+      const isLimitedByShutdown = deps.shutdown.responseDeadline() < request.deadline;
+      const reason = isLimitedByShutdown ? SHUTDOWN_REASON : 'too little time is left';
+      if (this.attempts.size === 0) this.failRequest(reason);
       return;
     }
     const chosen = this.pickTarget();
-    if (chosen === 'noRoom') {
-      this.joinLine(why);
+    if (chosen === 'allFull') {
+      this.enqueue(why);
       return;
     }
     if (chosen === undefined) {
       this.waitForTarget(why);
       return;
     }
-    if (this.sends > 0 && !tools.backends.takeRepeat(service.name)) {
-      if (this.sendings.size === 0) this.giveUp('no repeats left');
+    if (this.attemptCount > 0 && !deps.backends.takeRetry(service.name)) {
+      if (this.attempts.size === 0) this.failRequest('no repeats left');
       return;
     }
-    this.wait.endForTarget();
-    this.sendTo(chosen, why);
+    this.wait.endTargetWait();
+    this.startAttempt(chosen, why);
   }
 
   /**
-   * Only the first sending to a model's replica waits for room. What goes on after a stall has used up
-   * its time already, and where there is no replica at all a place in line would not help.
+   * Chooses a target, or `allFull` if the request has to queue. Only the first attempt at a model's
+   * replica queues: a retry has little time left, and without any replica queueing would not help.
    */
-  private pickTarget(): ChosenTarget | 'noRoom' | undefined {
-    const { request, tools, tried } = this;
+  private pickTarget(): ChosenTarget | 'allFull' | undefined {
+    const { request, deps, triedServers } = this;
     const { service, model } = request;
-    const { backends, lines } = tools;
-    if (this.sends > 0 || model === undefined) return backends.choose(service, model?.name, tried);
-    const isBehind = !this.wait.isInLine && lines.hasLine(request);
-    const withRoom = isBehind ? undefined : backends.choose(service, model.name, tried, true);
-    if (withRoom) return withRoom;
-    return backends.choose(service, model.name, tried) ? 'noRoom' : undefined;
-  }
-
-  private joinLine(why: string): void {
-    if (this.wait.isInLine) return;
+    const { backends, queues } = deps;
+    if (this.attemptCount > 0 || model === undefined)
+      return backends.choose(service, model?.name, triedServers);
+    const mustQueue = !this.wait.isQueued && queues.hasQueued(request);
+    const withCapacity = mustQueue
+      ? undefined
+      : backends.choose(service, model.name, triedServers, true);
+    if (withCapacity) return withCapacity;
+    return backends.choose(service, model.name, triedServers) ? 'allFull' : undefined;
+  }
+
+  private enqueue(why: string): void {
+    if (this.wait.isQueued) return;
     this.logWait('no room');
-    this.wait.joinLine({
+    this.wait.enqueue({
       trySend: () => this.trySend(why),
-      refuse: () => {
-        this.wait.leaveLine();
-        this.giveUp('no room in time');
+      reject: () => {
+        this.wait.leaveQueue();
+        this.failRequest('no room in time');
       },
     });
   }
 
-  /** Its turn in the line. */
+  /** Called when it is first in its queue; returns false when all targets are full. */
   private trySend(why: string): boolean {
-    if (this.pickTarget() === 'noRoom') return false;
-    this.sendNext(why);
-    this.wait.leaveLine();
+    if (this.pickTarget() === 'allFull') return false;
+    this.sendNextAttempt(why);
+    this.wait.leaveQueue();
     return true;
   }
 
   private waitForTarget(why: string): void {
-    if (this.sendings.size > 0) return;
-    const now = this.tools.context.clock.now();
-    if (this.wait.beginForTarget(now)) this.logWait(why);
-    if (this.tried.size > 0) this.wait.pause(now);
-    if (this.isRepeatable) this.tried.clear();
+    if (this.attempts.size > 0) return;
+    const now = this.deps.context.clock.now();
+    if (this.wait.startTargetWait(now)) this.logWait(why);
+    if (this.triedServers.size > 0) this.wait.delayRetry(now);
+    if (this.isRepeatable) this.triedServers.clear();
   }
 
   private logWait(why: string): void {
     const { service, model } = this.request;
-    const targets = this.tools.backends.count(service, model?.name);
-    this.log('requestWaits', { why, targets, tried: this.tried.size });
+    const targets = this.deps.backends.countTargets(service, model?.name);
+    this.log('requestWaits', { why, targets, tried: this.triedServers.size });
   }
 
-  private sendTo(chosen: ChosenTarget, why: string): void {
-    const { request, tools, stream } = this;
+  private startAttempt(chosen: ChosenTarget, why: string): void {
+    const { request, deps, stream } = this;
     const { server } = chosen.target;
-    this.tried.add(server.id);
-    this.sends += 1;
-    const leftMs = this.sendableMs;
+    this.triedServers.add(server.id);
+    this.attemptCount += 1;
+    const leftMs = this.attemptBudgetMs;
     const lastEventId = stream ? stream.lastEventId : request.caller.lastEventId;
-    reportSent(tools.context, request, chosen, {
+    reportAttempt(deps.context, request, chosen, {
       why,
-      attempt: this.sends,
+      attempt: this.attemptCount,
       leftMs,
       lastEventId,
     });
-    tools.backends.sent(server.id);
-    tools.lines.recordSent(request);
+    deps.backends.sent(server.id);
+    deps.queues.recordSent(request);
     stream?.startRun();
-    const limits = limitsBeforeAnswer(request, chosen, tools.lines.usualFirstMs(request));
-    const sending = new Sending(server, limits, this, tools.context.clock);
-    this.sendings.add(sending);
-    tools.watchdog.attempts.add(sending);
-    sending.start(tools.send, {
+    const limits = limitsBeforeFirstEvent(
+      request,
+      chosen,
+      deps.queues.expectedFirstEventMs(request),
+    );
+    const attempt = new TrackedAttempt(server, limits, this, deps.context.clock);
+    this.attempts.add(attempt);
+    deps.watchdog.attempts.add(attempt);
+    attempt.start(deps.send, {
       to: { id: server.id, address: server.address },
       method: request.incoming.method ?? 'GET',
       path: request.incoming.url ?? '/',
-      headers: tools.context.platform.requests.encodeRequest(request.incoming.rawHeaders, {
+      headers: deps.context.platform.requests.encodeRequest(request.incoming.rawHeaders, {
         server: server.id,
         deadlineMs: leftMs,
-        priority: clampPriority(request.holder?.priority ?? request.route.priority),
-        ...(request.holder && { workspace: request.holder.workspace }),
+        priority: clampPriority(request.keyHolder?.priority ?? request.route.priority),
+        ...(request.keyHolder && { workspace: request.keyHolder.workspace }),
         ...(lastEventId !== undefined && { lastEventId }),
       }),
       body: request.body,
@@ -268,215 +275,232 @@
     });
   }
 
-  // --- what comes back ---
+  // --- events of attempts ---
 
-  onAnswer({ server }: Sending, { notRun }: AttemptAnswer): void {
-    if (!notRun) this.tools.backends.progressed(server);
+  onResponse({ server }: TrackedAttempt, { notRun }: AttemptResponse): void {
+    if (!notRun) this.deps.backends.progressed(server);
   }
 
-  onData(sending: Sending, answer: AttemptAnswer, chunk: Buffer): void {
-    if (this.stream && isGood(answer)) {
-      this.tools.backends.progressed(sending.server);
-      this.takeEvents(sending, answer, this.stream, chunk);
+  onData(attempt: TrackedAttempt, response: AttemptResponse, chunk: Buffer): void {
+    if (this.stream && isValidSuccess(response)) {
+      this.deps.backends.progressed(attempt.server);
+      this.relayStreamChunk(attempt, response, this.stream, chunk);
     } else {
-      sending.body.push(chunk);
+      attempt.body.push(chunk);
     }
   }
 
-  private takeEvents(
-    sending: Sending,
-    answer: AttemptAnswer,
+  private relayStreamChunk(
+    attempt: TrackedAttempt,
+    response: AttemptResponse,
     stream: EventStream,
     chunk: Buffer,
   ): void {
     const part = stream.push(chunk);
     if (part.kind === 'gap') {
-      this.end(sending, 'events are missing');
-      sending.cancel();
-      this.afterBroken('events are missing in the answer');
+      this.endAttempt(attempt, 'events are missing');
+      attempt.cancel();
+      this.handleBrokenAttempt('events are missing in the answer');
       return;
     }
     if (part.count === 0) return;
-    const { clock, platform } = this.tools.context;
-    const limits = limitsWithinAnswer(this.request);
-    if (limits) sending.tighten(limits);
+    const { clock, platform } = this.deps.context;
+    const limits = limitsBetweenEvents(this.request);
+    if (limits) attempt.updateLimits(limits);
     this.lastEventAt = clock.now();
-    if (this.firstByteAt === undefined) {
-      this.firstByteAt = this.lastEventAt;
-      this.tools.lines.recordFirstEvent(this.request, this.firstByteAt - sending.sentAt);
+    if (this.firstEventAt === undefined) {
+      this.firstEventAt = this.lastEventAt;
+      this.deps.queues.recordFirstEvent(this.request, this.firstEventAt - attempt.sentAt);
     }
-    relayEvents(this.reply, platform.requests, sending, answer, part.bytes);
+    relayEvents(this.reply, platform.requests, attempt, response, part.bytes);
   }
 
-  onEnd(sending: Sending, answer: AttemptAnswer): void {
-    const { backends } = this.tools;
-    const { server } = sending;
-    if (answer.notRun) {
-      this.end(sending, `refused with ${answer.status}`);
+  onEnd(attempt: TrackedAttempt, response: AttemptResponse): void {
+    const { backends } = this.deps;
+    const { server } = attempt;
+    if (response.notRun) {
+      this.endAttempt(attempt, `refused with ${response.status}`);
       backends.answered(server, true);
-      this.afterRefusal();
+      this.handleRefusal();
       return;
     }
-    if (isGood(answer)) {
-      this.end(sending, 'answered');
+    if (isValidSuccess(response)) {
+      this.endAttempt(attempt, 'answered');
       backends.answered(server, false);
-      this.complete(sending, answer);
+      this.completeRequest(attempt, response);
       return;
     }
-    this.end(sending, `status ${answer.status}`);
-    backends.answered(server, answer.status >= 500);
-    if (!answer.signed || answer.encoded) {
-      this.afterBroken(`an answer with status ${answer.status} that is not the backend server's`);
+    this.endAttempt(attempt, `status ${response.status}`);
+    backends.answered(server, response.status >= 500);
+    if (!response.signed || response.encoded) {
+      this.handleBrokenAttempt(
+        `an answer with status ${response.status} that is not the backend server's`,
+      );
       return;
     }
-    this.failedSending = sending;
-    this.afterBroken(`the backend server answered ${answer.status}`, answer.status < 500);
+    this.failedAttempt = attempt;
+    this.handleBrokenAttempt(
+      `the backend server answered ${response.status}`,
+      response.status < 500,
+    );
   }
 
-  private complete(sending: Sending, answer: AttemptAnswer): void {
+  private completeRequest(attempt: TrackedAttempt, response: AttemptResponse): void {
     const { stream, reply } = this;
-    const { requests } = this.tools.context.platform;
+    const { requests } = this.deps.context.platform;
     if (stream?.isMidEvent) {
-      this.afterBroken('the answer ended within an event');
+      this.handleBrokenAttempt('the answer ended within an event');
       return;
     }
-    this.tools.quarantine.recordAnswered(this.request.fingerprint);
+    this.deps.quarantine.recordAnswered(this.request.fingerprint);
     if (stream) {
-      relayEvents(reply, requests, sending, answer, NOTHING);
+      relayEvents(reply, requests, attempt, response, EMPTY_BUFFER);
       reply.end();
     } else {
-      sendPlain(reply, requests, answer, Buffer.concat(sending.body));
+      sendBuffered(reply, requests, response, Buffer.concat(attempt.body));
     }
-    this.finish('answered', `${answer.status} by ${answer.framing}`);
+    this.finish('answered', `${response.status} by ${response.framing}`);
   }
 
-  onFailure(sending: Sending, failure: AttemptFailure): void {
-    const { backends, quarantine } = this.tools;
-    this.end(sending, failure.reason, failure.kind);
+  onFailure(attempt: TrackedAttempt, failure: AttemptFailure): void {
+    const { backends, quarantine } = this.deps;
+    this.endAttempt(attempt, failure.reason, failure.kind);
     switch (failure.kind) {
       case 'notSent':
-        backends.suspect(sending.server, failure.reason);
-        this.afterRefusal();
+        backends.suspect(attempt.server, failure.reason);
+        this.handleRefusal();
         break;
       case 'broken':
-        backends.answered(sending.server, true);
-        quarantine.recordBroken(this.request.fingerprint, sending.target);
-        this.afterBroken(failure.reason);
+        backends.answered(attempt.server, true);
+        quarantine.recordBroken(this.request.fingerprint, attempt.target);
+        this.handleBrokenAttempt(failure.reason);
         break;
     }
   }
 
-  onStall(sending: Sending, kind: 'server' | 'answer'): void {
-    if (!this.isRepeatable || !this.mayRunAgain()) return;
-    const { backends, watchdog } = this.tools;
+  onStall(attempt: TrackedAttempt, kind: 'server' | 'response'): void {
+    if (!this.isRepeatable || !this.hasAttemptsLeft()) return;
+    const { backends, watchdog } = this.deps;
     const { service, model } = this.request;
-    if (backends.choose(service, model?.name, this.tried) === undefined) return;
-    if (!backends.hasRepeat(service.name)) return;
+    if (backends.choose(service, model?.name, this.triedServers) === undefined) return;
+    if (!backends.hasRetryLeft(service.name)) return;
     const why = kind === 'server' ? 'nothing moved there' : 'the answer stood still';
     if (this.stream) {
-      sending.cancel();
-      this.end(sending, why);
+      attempt.cancel();
+      this.endAttempt(attempt, why);
     } else {
-      // A plain answer that is only slow may still come first; it has had its one stall.
-      watchdog.attempts.delete(sending);
+      // A slow response may still arrive first; its attempt goes on without stall checks.
+      watchdog.attempts.delete(attempt);
     }
-    this.runs += 1;
-    this.sendNext(why);
+    this.possibleRuns += 1;
+    this.sendNextAttempt(why);
   }
 
-  // --- what follows ---
+  // --- outcomes ---
 
-  private mayRunAgain(): boolean {
-    return this.runs + 1 < this.request.route.maxAttempts;
+  private hasAttemptsLeft(): boolean {
+    return this.possibleRuns + 1 < this.request.route.maxAttempts;
   }
 
-  /** Nothing ran: any request may be sent elsewhere. */
-  private afterRefusal(): void {
+  /** The request did not run, so it can be retried even if it must not run twice. */
+  private handleRefusal(): void {
     this.refusals += 1;
-    if (this.sendings.size > 0) return;
-    if (this.refusals > MOST_REFUSALS) {
-      this.giveUp('refused everywhere');
+    if (this.attempts.size > 0) return;
+    if (this.refusals > MAX_REFUSALS) {
+      this.failRequest('refused everywhere');
       return;
     }
-    this.sendNext('not run');
+    this.sendNextAttempt('not run');
   }
 
-  /** It may have run: only what may run again is sent again. */
-  private afterBroken(reason: string, isFinal = false): void {
-    this.lastReason = reason;
-    const mayRepeat = this.isRepeatable && !isFinal && this.mayRunAgain();
-    this.runs += 1;
-    if (this.sendings.size > 0) return;
-    if (mayRepeat) {
-      this.sendNext(reason);
+  /** The request may have run, so it is retried only if it is repeatable. */
+  private handleBrokenAttempt(reason: string, isFinal = false): void {
+    this.lastFailureReason = reason;
+    const canRetry = this.isRepeatable && !isFinal && this.hasAttemptsLeft();
+    this.possibleRuns += 1;
+    if (this.attempts.size > 0) return;
+    if (canRetry) {
+      this.sendNextAttempt(reason);
       return;
     }
-    this.giveUp(reason);
+    this.failRequest(reason);
   }
 
-  private giveUp(reason: string): void {
-    const { reply, failedSending } = this;
-    this.lastReason = reason;
+  private failRequest(reason: string): void {
+    const { reply, failedAttempt } = this;
+    this.lastFailureReason = reason;
     if (!reply.isUnsent) {
-      this.cutStream(reason);
+      this.abortStream(reason);
       return;
     }
-    if (failedSending?.answer) {
-      const { requests } = this.tools.context.platform;
-      sendPlain(reply, requests, failedSending.answer, Buffer.concat(failedSending.body));
+    if (failedAttempt?.response) {
+      const { requests } = this.deps.context.platform;
+      sendBuffered(reply, requests, failedAttempt.response, Buffer.concat(failedAttempt.body));
       this.finish('failedThere', reason);
       return;
     }
-    if (this.mayHaveRun) this.failWith(createFailure('outcomeUnknown', { reason }), 'failed');
+    if (this.mayHaveRun)
+      this.respondWithFailure(createFailure('outcomeUnknown', { reason }), 'failed');
     else {
       const name = this.request.model?.name ?? this.request.service.name;
-      this.failWith(createFailure('noCapacity', { name }, RETRY_AFTER_MS), 'refused', reason);
+      this.respondWithFailure(
+        createFailure('noCapacity', { name }, RETRY_AFTER_MS),
+        'refused',
+        reason,
+      );
     }
   }
 
-  /** Servers end under it: those that have it are spared, where they haven't begun to answer. */
-  private endQuarantined(): void {
+  /** Fails a quarantined request and cancels attempts, to keep their servers from crashing. */
+  private failQuarantined(): void {
     if (this.mayHaveRun || !this.reply.isUnsent) {
-      this.giveUp('backend servers end under it');
+      this.failRequest('backend servers end under it');
       return;
     }
-    const leftMs = this.tools.quarantine.leftMs(this.request.fingerprint);
-    this.failWith(createFailure('quarantined', undefined, leftMs), 'refused');
+    const leftMs = this.deps.quarantine.leftMs(this.request.fingerprint);
+    this.respondWithFailure(createFailure('quarantined', undefined, leftMs), 'refused');
   }
 
-  /** The time is up. */
-  private expire(): void {
+  private handleDeadline(): void {
     if (!this.reply.isUnsent) {
-      this.cutStream('the time was up');
+      this.abortStream('the deadline has passed');
       return;
     }
     const { mayHaveRun } = this;
     const kind = mayHaveRun ? 'deadlineAfterStart' : 'deadlineBeforeStart';
-    this.failWith(createFailure(kind), mayHaveRun ? 'failed' : 'refused', this.lastReason);
+    this.respondWithFailure(
+      createFailure(kind),
+      mayHaveRun ? 'failed' : 'refused',
+      this.lastFailureReason,
+    );
   }
 
-  private cutStream(reason: string): void {
+  private abortStream(reason: string): void {
     this.finish('cut', reason);
-    this.reply.cut();
+    this.reply.abort();
   }
 
-  private failWith(failure: Failure, outcome: RequestOutcome, reason = failure.message): void {
-    this.tools.context.metrics.countError(failure.kind);
-    this.reply.fail(failure, this.request.id);
+  private respondWithFailure(
+    failure: Failure,
+    outcome: RequestOutcome,
+    reason = failure.message,
+  ): void {
+    this.deps.context.metrics.countError(failure.kind);
+    this.reply.sendFailure(failure, this.request.id);
     this.finish(outcome, reason);
   }
 
-  private end(sending: Sending, how: string, kind = 'ended'): void {
-    if (sending.isOver) return;
-    sending.isOver = true;
-    this.sendings.delete(sending);
-    this.tools.watchdog.attempts.delete(sending);
-    this.tools.backends.ended(sending.server);
-    this.tools.lines.serveSoon();
-    this.tools.context.metrics.attempts.inc({ outcome: kind });
+  private endAttempt(attempt: TrackedAttempt, how: string, kind = 'ended'): void {
+    if (attempt.isEnded) return;
+    attempt.isEnded = true;
+    this.attempts.delete(attempt);
+    this.deps.watchdog.attempts.delete(attempt);
+    this.deps.backends.ended(attempt.server);
+    this.deps.queues.scheduleDispatch();
+    this.deps.context.metrics.attempts.inc({ outcome: kind });
     if (how !== 'answered')
       this.log('attemptEnded', {
-        server: sending.server,
+        server: attempt.server,
         fingerprint: this.request.fingerprint,
         how,
         kind,
@@ -486,21 +510,22 @@
   private finish(outcome: RequestOutcome, reason: string): void {
     if (this.isFinished) return;
     this.isFinished = true;
-    this.wait.leaveLine();
-    this.tools.watchdog.requests.delete(this);
-    for (const sending of [...this.sendings]) {
-      sending.cancel();
-      this.end(sending, outcome === 'answered' ? 'answered' : outcome);
+    this.wait.leaveQueue();
+    this.deps.watchdog.requests.delete(this);
+    for (const attempt of [...this.attempts]) {
+      attempt.cancel();
+      this.endAttempt(attempt, outcome === 'answered' ? 'answered' : outcome);
     }
-    const { context, stopping } = this.tools;
-    if (this.sends > 0) stopping.recordEnd(this.request, context.clock.now() - this.startedAt);
+    const { context, shutdown } = this.deps;
+    if (this.attemptCount > 0)
+      shutdown.recordDuration(this.request, context.clock.now() - this.startedAt);
     reportEnd(context, this.request, {
       outcome,
       reason,
-      sends: this.sends,
-      runs: this.runs,
+      attempts: this.attemptCount,
+      possibleRuns: this.possibleRuns,
       startedAt: this.startedAt,
-      firstByteAt: this.firstByteAt,
+      firstEventAt: this.firstEventAt,
       lastEventAt: this.lastEventAt,
       lastEventId: this.stream?.lastEventId,
     });
@@ -511,13 +536,13 @@
     event: 'requestWaits' | 'attemptEnded',
     values: Record<string, string | number | boolean | undefined>,
   ): void {
-    this.tools.context.logger.log(event, { request: this.request.id, ...values });
+    this.deps.context.logger.log(event, { request: this.request.id, ...values });
   }
 }
 
-const NOTHING = Buffer.alloc(0);
+const EMPTY_BUFFER = Buffer.alloc(0);
 
-/** Callers' ranks go from 0; backend servers know 0 to 9. */
+/** Backend servers accept priorities from 0 to 9. */
 function clampPriority(priority: number): number {
   return Math.min(9, Math.max(0, Math.round(priority)));
 }
--- a/src/gateway/requests/request-path.ts
+++ b/src/gateway/requests/request-path.ts
@@ -1,8 +1,8 @@
 /**
- * The request path: the listener for callers and everything under way behind it.
+ * The HTTP server for callers.
  *
- * `node:http` without a framework: answers are passed on byte by byte, with headers as they came, and
- * the moment at which a connection closes is part of what a caller is told.
+ * Uses `node:http` without a framework to relay responses with unchanged bytes and headers and to
+ * control when connections close.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { ResultAsync } from 'neverthrow';
@@ -13,33 +13,33 @@
 import type { GatewayContext } from '../types.js';
 import { admitRequest } from './admission.js';
 import type { Backends } from './backends.js';
-import { readBody, type BodyRead } from './request-body.js';
+import { readBody, type BodyResult } from './request-body.js';
 import { computeFingerprint } from './fingerprint.js';
 import type { Quarantine } from './quarantine.js';
 import { createReply, type Reply } from './reply.js';
-import { reportUnread } from './request-report.js';
-import { RequestRun, type RunTools } from './request-forwarder.js';
-import { createStopping, refuseStopped } from './shutdown.js';
+import { reportIncompleteBody } from './request-report.js';
+import { RequestForwarder, type ForwarderDependencies } from './request-forwarder.js';
+import { createShutdownPolicy, createStoppingFailure } from './shutdown.js';
 import type { RequestHead } from './types.js';
-import { createWaitingLines } from './request-queues.js';
+import { createRequestQueues } from './request-queues.js';
 import type { Watchdog, WatchedRequest } from './watchdog.js';
 
-/** The listener for callers. */
-export interface RequestPath {
+/** The running HTTP server for callers. */
+export interface RequestServer {
   listen(): ResultAsync<string, Failure<'unreachable'>>;
-  /** Requests that have not had their final answer. */
+  /** Requests without a final response. */
   inFlight(): number;
   /**
-   * Connections that stay idle are closed after `graceMs`, when the balancer sends nobody any more;
-   * answers tell callers to close theirs sooner. Resolves when none is left.
+   * Closes idle connections after `graceMs`, when the load balancer no longer sends requests here.
+   * Until then responses carry `Connection: close`. Resolves when no connection is left.
    */
   drain(graceMs: Milliseconds): Promise<void>;
-  /** Gives every request that is still under way its end. */
+  /** Ends all requests that are still in flight. */
   endAll(): void;
   close(): void;
 }
 
-interface RequestPathOptions {
+interface RequestServerOptions {
   context: GatewayContext;
   backends: Backends;
   watchdog: Watchdog;
@@ -47,92 +47,109 @@
   quarantine: Quarantine;
 }
 
-/** Held longer than callers keep a connection, so that none closes as a request arrives. */
-const IDLE_MARGIN_MS: Milliseconds = 2_000;
-/** Above what any configuration allows; the parser answers larger heads by itself. */
+/** Added to the callers' idle timeout, so that the server does not close as a request arrives. */
+const IDLE_TIMEOUT_MARGIN_MS: Milliseconds = 2_000;
+/** Above what any configuration allows; the HTTP parser rejects larger headers. */
 const MAX_HEADER_BYTES = 65_536;
-const DEFAULT_IDLE_MS: Milliseconds = 60_000;
-const DEFAULT_BODY_BYTES = 4_194_304;
+const DEFAULT_IDLE_TIMEOUT_MS: Milliseconds = 60_000;
+const DEFAULT_MAX_BODY_BYTES = 4_194_304;
 
-export function createRequestPath(options: RequestPathOptions): RequestPath {
+export function createRequestPath(options: RequestServerOptions): RequestServer {
   const { context, watchdog } = options;
   const { board, clock, metrics, logger } = context;
-  const stopping = createStopping(context);
-  const lines = createWaitingLines(clock);
+  const shutdown = createShutdownPolicy(context);
+  const queues = createRequestQueues(clock);
   watchdog.onTick(() => {
-    lines.serve();
+    queues.dispatch();
   });
-  const tools: RunTools = { ...options, stopping, lines };
+  const dependencies: ForwarderDependencies = { ...options, shutdown, queues };
   let inFlight = 0;
 
-  const count = (change: 1 | -1): void => {
+  const updateInFlight = (change: 1 | -1): void => {
     inFlight += change;
     metrics.setInFlight(inFlight);
   };
-  const handle = async (incoming: IncomingMessage, response: ServerResponse): Promise<void> => {
+  const handleRequest = async (
+    incoming: IncomingMessage,
+    response: ServerResponse,
+  ): Promise<void> => {
     const arrivedAt = clock.now();
-    const reply = createReply(response, () => stopping.isUnderWay());
+    const reply = createReply(response, () => shutdown.isShuttingDown());
     const admitted = admitRequest(context, incoming, arrivedAt);
     if (admitted.isErr()) {
-      refuse(context, reply, incoming, admitted.error);
+      rejectRequest(context, reply, incoming, admitted.error);
       return;
     }
     const head = admitted.value;
-    const maxBytes = board.serving.read()?.configuration.limits.maxBodyBytes ?? DEFAULT_BODY_BYTES;
-    const body = await readWhileItMayBegin(head, maxBytes);
+    const maxBytes =
+      board.serving.read()?.configuration.limits.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES;
+    const body = await readBodyBeforeShutdown(head, maxBytes);
     switch (body.kind) {
       case 'aborted':
-        reportUnread(context, head);
+        reportIncompleteBody(context, head);
         return;
-      case 'givenUp':
-        refuse(context, reply, incoming, refuseStopped());
+      case 'cancelled':
+        rejectRequest(context, reply, incoming, createStoppingFailure());
         return;
       case 'tooLarge':
-        refuse(context, reply, incoming, createFailure('bodyTooLarge', { limitBytes: maxBytes }));
+        rejectRequest(
+          context,
+          reply,
+          incoming,
+          createFailure('bodyTooLarge', { limitBytes: maxBytes }),
+        );
         return;
       case 'read':
-        run(head, body.body, response, reply);
+        forwardRequest(head, body.body, response, reply);
     }
   };
-  /** A body that comes slowly may be whole only when what is left of a stop is too short. */
-  const readWhileItMayBegin = async (head: RequestHead, maxBytes: number): Promise<BodyRead> => {
-    const reading = readBody(head.incoming, maxBytes);
-    const giveUpLate = (now: Milliseconds): void => {
-      if (!stopping.mayBegin(head, now)) reading.giveUp();
+  /** Cancels the read when a shutdown leaves too little time to run the request. */
+  const readBodyBeforeShutdown = async (
+    head: RequestHead,
+    maxBytes: number,
+  ): Promise<BodyResult> => {
+    const reader = readBody(head.incoming, maxBytes);
+    const cancelIfTooLate = (now: Milliseconds): void => {
+      if (!shutdown.canStart(head, now)) reader.cancel();
     };
     const watched: WatchedRequest = {
-      onTick: giveUpLate,
-      onGraceOver: () => {
-        reading.giveUp();
+      onTick: cancelIfTooLate,
+      onShutdownDeadline: () => {
+        reader.cancel();
       },
     };
-    giveUpLate(clock.now());
+    cancelIfTooLate(clock.now());
     watchdog.requests.add(watched);
-    const read = await reading.result;
+    const result = await reader.result;
     watchdog.requests.delete(watched);
-    return read;
+    return result;
   };
-  const run = (
+  const forwardRequest = (
     head: RequestHead,
     body: Buffer | undefined,
     response: ServerResponse,
     reply: Reply,
   ): void => {
-    count(1);
+    updateInFlight(1);
     const fingerprint = computeFingerprint({ ...head, body });
-    const requestRun = new RequestRun({ ...head, body, fingerprint }, reply, tools, () => {
-      count(-1);
-    });
+    const forwarder = new RequestForwarder(
+      { ...head, body, fingerprint },
+      reply,
+      dependencies,
+      () => {
+        updateInFlight(-1);
+      },
+    );
     response.once('close', () => {
-      requestRun.abandon();
+      forwarder.handleCallerDisconnect();
     });
-    requestRun.start();
+    forwarder.start();
   };
   const server = createServer(
-    { maxHeaderSize: MAX_HEADER_BYTES, noDelay: true, keepAliveTimeout: DEFAULT_IDLE_MS },
+    { maxHeaderSize: MAX_HEADER_BYTES, noDelay: true, keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS },
     (incoming, response) => {
       response.sendDate = false;
-      handle(incoming, response).catch((error: unknown) => {
+      handleRequest(incoming, response).catch((error: unknown) => {
         logger.log('unexpectedError', { reason: String(error), where: 'request' });
         response.destroy();
       });
@@ -140,14 +157,14 @@
   );
   server.requestTimeout = 0;
   board.serving.subscribe(() => {
-    applyLimits(server, board.serving.read()?.configuration.limits.idleTimeoutMs);
+    applyIdleTimeout(server, board.serving.read()?.configuration.limits.idleTimeoutMs);
   });
   return {
     listen: () => listenOn(server, context.settings.listen.callers),
     inFlight: () => inFlight,
     drain: (graceMs) => drainServer(server, graceMs),
     endAll: () => {
-      for (const request of [...watchdog.requests]) request.onGraceOver();
+      for (const request of [...watchdog.requests]) request.onShutdownDeadline();
     },
     close: () => {
       server.close();
@@ -156,11 +173,14 @@
   };
 }
 
-function applyLimits(server: Server, idleTimeoutMs: Milliseconds = DEFAULT_IDLE_MS): void {
-  server.keepAliveTimeout = idleTimeoutMs + IDLE_MARGIN_MS;
+function applyIdleTimeout(
+  server: Server,
+  idleTimeoutMs: Milliseconds = DEFAULT_IDLE_TIMEOUT_MS,
+): void {
+  server.keepAliveTimeout = idleTimeoutMs + IDLE_TIMEOUT_MARGIN_MS;
 }
 
-function refuse(
+function rejectRequest(
   { board, clock, logger, metrics, platform }: GatewayContext,
   reply: Reply,
   incoming: IncomingMessage,
@@ -176,5 +196,5 @@
     reason: failure.message,
     leftMs: stop && Math.round(stop.lastAnswerAt - clock.now()),
   });
-  reply.fail(failure, id);
+  reply.sendFailure(failure, id);
 }
--- a/src/gateway/requests/request-queues.ts
+++ b/src/gateway/requests/request-queues.ts
@@ -1,5 +1,5 @@
 /**
- * The lines of requests that wait for a target with room, one for each model of a service.
+ * Queues of requests that wait for a target with free capacity, one per model of a service.
  */
 import {
   FirstEventTimes,
@@ -11,105 +11,106 @@
 import type { Clock, Milliseconds } from '../../core/clock/index.js';
 import type { AdmittedRequest } from './types.js';
 
-/** A request in a line, as the line sees it. */
-export interface InLine extends WaitingRequest {
-  /** Sends it if a target has room; false when none has. */
+/** A queued request. */
+export interface QueuedRequest extends WaitingRequest {
+  /** Sends the request; returns false when no target has a free slot. */
   trySend(): boolean;
-  /** Ends it: it won't be served in time to be worth anything. */
-  refuse(): void;
+  /** Fails the request because it can't be served in time. */
+  reject(): void;
 }
 
-/** The request path's lines. */
-export interface WaitingLines {
-  join(request: AdmittedRequest, how: Pick<InLine, 'trySend' | 'refuse'>): InLine;
-  leave(request: AdmittedRequest, waiting: InLine): void;
-  /** A sending to a target, whether it waited or not. */
+/** All queues of a gateway. */
+export interface RequestQueues {
+  enqueue(
+    request: AdmittedRequest,
+    handlers: Pick<QueuedRequest, 'trySend' | 'reject'>,
+  ): QueuedRequest;
+  remove(request: AdmittedRequest, queued: QueuedRequest): void;
+  /** Counts an attempt, whether its request was queued or not. */
   recordSent(request: AdmittedRequest): void;
-  /** Whether somebody waits before one that comes now. */
-  hasLine(request: AdmittedRequest): boolean;
-  /** A target may have room: those whose turn it is are sent soon. */
-  serveSoon(): void;
-  /** Sends all whose turn it is, and refuses those that wait in vain. */
-  serve(): void;
+  /** Whether other requests for the same model are queued. */
+  hasQueued(request: AdmittedRequest): boolean;
+  /** Dispatches in the next turn of the event loop, after a target may have become free. */
+  scheduleDispatch(): void;
+  /** Sends queued requests to targets with free slots; rejects those that can't be in time. */
+  dispatch(): void;
   recordFirstEvent(request: AdmittedRequest, tookMs: Milliseconds): void;
-  /** What first events take now from the sending on. */
-  usualFirstMs(request: AdmittedRequest): Milliseconds;
+  /** Expected time from sending a request to its first event. */
+  expectedFirstEventMs(request: AdmittedRequest): Milliseconds;
 }
 
-/**
- * Callers of streams leave after this long without an event, at the earliest: the platform's contract
- * with them, two seconds or a multiple of the route's aims, whichever is longer.
- */
-const PATIENCE_MS: Milliseconds = 2_000;
+/** The least time after which callers of streams disconnect when no event has arrived. */
+const CALLER_PATIENCE_MS: Milliseconds = 2_000;
 
-interface Line {
-  waiting: Set<InLine>;
+interface RequestQueue {
+  waiting: Set<QueuedRequest>;
   pace: LinePace;
 }
 
-export function createWaitingLines(clock: Clock): WaitingLines {
-  const lines = new Map<string, Line>();
+export function createRequestQueues(clock: Clock): RequestQueues {
+  const queues = new Map<string, RequestQueue>();
   const firstEvents = new FirstEventTimes();
-  let isDue = false;
+  let isDispatchScheduled = false;
 
-  const lineOf = (request: AdmittedRequest): Line => {
-    const key = keyOf(request);
-    const known = lines.get(key);
-    if (known) return known;
-    const created: Line = { waiting: new Set(), pace: { since: 0, sent: 0 } };
-    lines.set(key, created);
+  const queueOf = (request: AdmittedRequest): RequestQueue => {
+    const key = queueKey(request);
+    const existing = queues.get(key);
+    if (existing) return existing;
+    const created: RequestQueue = { waiting: new Set(), pace: { since: 0, sent: 0 } };
+    queues.set(key, created);
     return created;
   };
-  const serveLine = ({ waiting, pace }: Line): void => {
+  const dispatchQueue = ({ waiting, pace }: RequestQueue): void => {
     const now = clock.now();
     for (const next of orderLine(waiting, now)) {
       if (!next.trySend()) break;
     }
-    for (const hopeless of listHopeless(orderLine(waiting, now), now, pace)) hopeless.refuse();
+    for (const expired of listHopeless(orderLine(waiting, now), now, pace)) expired.reject();
   };
-  const serve = (): void => {
-    for (const line of lines.values()) if (line.waiting.size > 0) serveLine(line);
+  const dispatch = (): void => {
+    for (const queue of queues.values()) if (queue.waiting.size > 0) dispatchQueue(queue);
   };
   return {
-    join: (request, how) => {
+    enqueue: (request, handlers) => {
       const now = clock.now();
-      const line = lineOf(request);
-      if (line.waiting.size === 0) line.pace = { since: now, sent: 0 };
-      const { route, holder, arrivedAt } = request;
-      const firstMs = firstEvents.expect(keyOf(request), route.targetMs);
-      const waiting: InLine = {
-        ...how,
-        rank: holder?.priority ?? route.priority,
+      const queue = queueOf(request);
+      if (queue.waiting.size === 0) queue.pace = { since: now, sent: 0 };
+      const { route, keyHolder, arrivedAt } = request;
+      const firstEventMs = firstEvents.expect(queueKey(request), route.targetMs);
+      const queued: QueuedRequest = {
+        ...handlers,
+        rank: keyHolder?.priority ?? route.priority,
         since: arrivedAt,
-        onTimeUntil: arrivedAt + route.targetMs - firstMs,
-        worthUntil: Math.min(request.answerBy, arrivedAt + PATIENCE_MS) - firstMs,
+        onTimeUntil: arrivedAt + route.targetMs - firstEventMs,
+        worthUntil: Math.min(request.deadline, arrivedAt + CALLER_PATIENCE_MS) - firstEventMs,
       };
-      line.waiting.add(waiting);
-      return waiting;
+      queue.waiting.add(queued);
+      return queued;
     },
-    leave: (request, waiting) => {
-      lineOf(request).waiting.delete(waiting);
+    remove: (request, queued) => {
+      queueOf(request).waiting.delete(queued);
     },
     recordSent: (request) => {
-      lineOf(request).pace.sent += 1;
+      queueOf(request).pace.sent += 1;
     },
-    hasLine: (request) => lineOf(request).waiting.size > 0,
-    serveSoon: () => {
-      if (isDue) return;
-      isDue = true;
+    hasQueued: (request) => queueOf(request).waiting.size > 0,
+    scheduleDispatch: () => {
+      if (isDispatchScheduled) return;
+      isDispatchScheduled = true;
       setImmediate(() => {
-        isDue = false;
-        serve();
+        isDispatchScheduled = false;
+        dispatch();
       });
     },
-    serve,
-    usualFirstMs: (request) => firstEvents.expect(keyOf(request), request.route.targetMs),
+    dispatch,
+    expectedFirstEventMs: (request) =>
+      firstEvents.expect(queueKey(request), request.route.targetMs),
     recordFirstEvent: (request, tookMs) => {
-      firstEvents.record(keyOf(request), tookMs);
+      firstEvents.record(queueKey(request), tookMs);
     },
   };
 }
 
-function keyOf({ service, model }: AdmittedRequest): string {
+function queueKey({ service, model }: AdmittedRequest): string {
   return `${service.name} ${model?.name ?? ''}`;
 }
--- a/src/gateway/requests/request-report.ts
+++ b/src/gateway/requests/request-report.ts
@@ -1,5 +1,5 @@
 /**
- * The lines of a request's log at its sendings and its end, and its metrics.
+ * Log lines and metrics of a request's attempts and its end.
  */
 import { roundedAge } from '../../controllers/freshness/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
@@ -7,35 +7,35 @@
 import type { ChosenTarget } from './backends.js';
 import type { AdmittedRequest, RequestHead, RequestOutcome } from './types.js';
 
-/** What a run was like, as told when it ends. */
-export interface RunSummary {
+/** Summary of a finished request. */
+export interface RequestSummary {
   outcome: RequestOutcome;
   reason: string;
-  sends: number;
-  /** Sendings that may have run. */
-  runs: number;
+  attempts: number;
+  /** Attempts that the backend server may have executed. */
+  possibleRuns: number;
   startedAt: Milliseconds;
-  firstByteAt: Milliseconds | undefined;
+  firstEventAt: Milliseconds | undefined;
   lastEventAt: Milliseconds | undefined;
   lastEventId: string | undefined;
 }
 
-/** What a sending was like beside its target. */
-export interface SendingSummary {
+/** What is logged of an attempt besides its target. */
+export interface AttemptSummary {
   why: string;
   /** Counted from 1. */
   attempt: number;
   leftMs: Milliseconds;
-  /** After which event the stream goes on. */
+  /** The event after which the stream resumes. */
   lastEventId: string | undefined;
 }
 
-/** Tells of a sending with what decided it, and how old that was. */
-export function reportSent(
+/** Logs an attempt with the data that its target was chosen by. */
+export function reportAttempt(
   context: GatewayContext,
   { id, fingerprint }: AdmittedRequest,
   { target, inFlight, candidates, isRemote }: ChosenTarget,
-  { why, attempt, leftMs, lastEventId }: SendingSummary,
+  { why, attempt, leftMs, lastEventId }: AttemptSummary,
 ): void {
   const { server } = target;
   context.logger.log('requestSent', {
@@ -55,7 +55,7 @@
   });
 }
 
-/** The version that a request is handled by, and how old the proof is that it is the newest. */
+/** The active configuration version, and how long ago it was last confirmed to be the newest. */
 function describeConfiguration({
   board,
   clock,
@@ -66,28 +66,28 @@
   };
 }
 
-/** Tells the end of a request to the metrics and the log. */
+/** Records the end of a request in metrics and log. */
 export function reportEnd(
   { board, clock, metrics, logger }: GatewayContext,
-  { id, route, holder, arrivedAt }: RequestHead,
-  summary: RunSummary,
+  { id, route, keyHolder, arrivedAt }: RequestHead,
+  summary: RequestSummary,
 ): void {
-  const { outcome, firstByteAt, lastEventAt } = summary;
+  const { outcome, firstEventAt, lastEventAt } = summary;
   const now = clock.now();
   const stop = board.stop.read();
   metrics.requests.inc({ route: route.repeatability, outcome });
-  const timings = metrics.timingsOf(holder?.workspace ?? '', route.repeatability);
+  const timings = metrics.timingsOf(keyHolder?.workspace ?? '', route.repeatability);
   timings.whole(now - arrivedAt);
-  if (firstByteAt !== undefined) timings.firstToken(firstByteAt - arrivedAt);
+  if (firstEventAt !== undefined) timings.firstToken(firstEventAt - arrivedAt);
   logger.log(outcome === 'answered' ? 'requestAnswered' : 'requestEnded', {
     request: id,
     outcome,
     reason: summary.reason,
     route: route.name,
-    sends: summary.sends,
-    runs: summary.runs,
+    sends: summary.attempts,
+    runs: summary.possibleRuns,
     tookMs: Math.round(now - arrivedAt),
-    firstMs: firstByteAt && Math.round(firstByteAt - arrivedAt),
+    firstMs: firstEventAt && Math.round(firstEventAt - arrivedAt),
     lastEventAgoMs: lastEventAt && Math.round(now - lastEventAt),
     lastEventId: summary.lastEventId,
     waitedMs: Math.round(summary.startedAt - arrivedAt),
@@ -95,15 +95,15 @@
   });
 }
 
-/** Tells the end of a request whose caller left within its body. */
-export function reportUnread(context: GatewayContext, head: RequestHead): void {
+/** Records the end of a request whose caller disconnected while sending the body. */
+export function reportIncompleteBody(context: GatewayContext, head: RequestHead): void {
   reportEnd(context, head, {
     outcome: 'callerGone',
-    reason: 'the caller left within its body',
-    sends: 0,
-    runs: 0,
+    reason: 'the caller disconnected while sending its body',
+    attempts: 0,
+    possibleRuns: 0,
     startedAt: context.clock.now(),
-    firstByteAt: undefined,
+    firstEventAt: undefined,
     lastEventAt: undefined,
     lastEventId: undefined,
   });
--- a/src/gateway/requests/request-wait.ts
+++ b/src/gateway/requests/request-wait.ts
@@ -1,68 +1,67 @@
 /**
- * How one request waits: for room at a replica, in its line, or for any target to appear at all.
+ * Waiting state of one request: queued for a free slot at a replica, or waiting for any target.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { AdmittedRequest } from './types.js';
-import type { InLine, WaitingLines } from './request-queues.js';
+import type { QueuedRequest, RequestQueues } from './request-queues.js';
 
-/** Longest wait for a target, as a part of the time that the caller has left. */
-const WAIT_PART = 0.4;
-const LONGEST_WAIT_MS: Milliseconds = 1_500;
-/** Before a target that refused a request is asked again: a slot comes free in about this time. */
-const RETRY_SAME_MS: Milliseconds = 150;
+/** Longest wait for a target, as a fraction of the time left until the deadline. */
+const MAX_WAIT_FRACTION = 0.4;
+const MAX_WAIT_MS: Milliseconds = 1_500;
+/** Delay before a target that refused the request is tried again. */
+const RETRY_DELAY_MS: Milliseconds = 150;
 
-/** The wait of one request. Changed in place, owned by its run. */
+/** Waiting state of one request. Mutable, owned by its forwarder. */
 export class RequestWait {
-  private inLine: InLine | undefined;
-  private targetUntil: Milliseconds | undefined;
-  private nextTryAt: Milliseconds = 0;
+  private queued: QueuedRequest | undefined;
+  private targetWaitEndsAt: Milliseconds | undefined;
+  private retryAt: Milliseconds = 0;
 
   constructor(
     private readonly request: AdmittedRequest,
-    private readonly lines: WaitingLines,
+    private readonly queues: RequestQueues,
   ) {}
 
-  get isInLine(): boolean {
-    return this.inLine !== undefined;
+  get isQueued(): boolean {
+    return this.queued !== undefined;
   }
 
-  joinLine(how: Pick<InLine, 'trySend' | 'refuse'>): void {
-    this.targetUntil = undefined;
-    this.inLine = this.lines.join(this.request, how);
-    this.lines.serveSoon();
+  enqueue(handlers: Pick<QueuedRequest, 'trySend' | 'reject'>): void {
+    this.targetWaitEndsAt = undefined;
+    this.queued = this.queues.enqueue(this.request, handlers);
+    this.queues.scheduleDispatch();
   }
 
-  leaveLine(): void {
-    if (this.inLine === undefined) return;
-    this.lines.leave(this.request, this.inLine);
-    this.inLine = undefined;
+  leaveQueue(): void {
+    if (this.queued === undefined) return;
+    this.queues.remove(this.request, this.queued);
+    this.queued = undefined;
   }
 
-  /** Waits for a target to appear; true when this wait has just begun. */
-  beginForTarget(now: Milliseconds): boolean {
-    if (this.targetUntil !== undefined) return false;
-    const leftMs = this.request.answerBy - now;
-    this.targetUntil = now + Math.min(LONGEST_WAIT_MS, leftMs * WAIT_PART);
+  /** Starts to wait for a target; returns false if it is already waiting. */
+  startTargetWait(now: Milliseconds): boolean {
+    if (this.targetWaitEndsAt !== undefined) return false;
+    const leftMs = this.request.deadline - now;
+    this.targetWaitEndsAt = now + Math.min(MAX_WAIT_MS, leftMs * MAX_WAIT_FRACTION);
     return true;
   }
 
-  /** A target that refused or failed before may be the only one there is; it needs a moment. */
-  pause(now: Milliseconds): void {
-    this.nextTryAt = now + RETRY_SAME_MS;
+  /** Delays the next try: the only target may be one that has just refused or failed. */
+  delayRetry(now: Milliseconds): void {
+    this.retryAt = now + RETRY_DELAY_MS;
   }
 
-  /** There is a target. */
-  endForTarget(): void {
-    this.targetUntil = undefined;
+  endTargetWait(): void {
+    this.targetWaitEndsAt = undefined;
   }
 
-  /** It waits for a target and may look for one again. */
-  mayTry(now: Milliseconds): boolean {
-    return this.targetUntil !== undefined && now >= this.nextTryAt;
+  /** Whether it waits for a target and the retry delay is over. */
+  canRetry(now: Milliseconds): boolean {
+    return this.targetWaitEndsAt !== undefined && now >= this.retryAt;
   }
 
-  /** It has waited for a target for as long as is worth it. */
-  isOver(now: Milliseconds): boolean {
-    return this.targetUntil !== undefined && now >= this.targetUntil;
+  /** Whether it has waited for a target for the longest allowed time. */
+  hasTimedOut(now: Milliseconds): boolean {
+    return this.targetWaitEndsAt !== undefined && now >= this.targetWaitEndsAt;
   }
 }
--- a/src/gateway/requests/response-relay.ts
+++ b/src/gateway/requests/response-relay.ts
@@ -1,55 +1,54 @@
 /**
- * What of a backend server's answer reaches the caller, and in which form.
+ * Relays responses of backend servers to callers.
  */
 import type { RequestDialect } from '../../ports/index.js';
-import type { AttemptAnswer } from '../backends/attempt.js';
+import type { AttemptResponse } from '../backends/attempt.js';
 import type { Reply } from './reply.js';
-import type { Sending } from './tracked-attempt.js';
+import type { TrackedAttempt } from './tracked-attempt.js';
 
-/** A success that is the backend server's own, whole and unchanged so far. */
-export function isGood(answer: AttemptAnswer): boolean {
-  const isSuccess = answer.status >= 200 && answer.status < 300;
-  return isSuccess && answer.signed && !answer.encoded && !answer.notRun;
+/** Whether a response is a success, signed by the backend server and without content encoding. */
+export function isValidSuccess(response: AttemptResponse): boolean {
+  const isSuccess = response.status >= 200 && response.status < 300;
+  return isSuccess && response.signed && !response.encoded && !response.notRun;
 }
 
 /**
- * Passes on an answer that was read to its end.
+ * Relays a response that was read to its end.
  *
- * Guards against an answer that is cut off and looks whole. One without a length may have been cut
- * with nothing to show it; it is passed on as it came, and its end is no more than the end of the
- * connection for the caller as well.
+ * A close-delimited response may have been truncated without a trace. It is relayed close-delimited
+ * too: with a `Content-Length` the caller would take a truncated body for a complete one.
  */
-export function sendPlain(
+export function sendBuffered(
   reply: Reply,
   dialect: RequestDialect,
-  { status, framing, headers }: AttemptAnswer,
+  { status, framing, headers }: AttemptResponse,
   body: Buffer,
 ): void {
-  const relayed = dialect.relayAnswer(headers);
+  const responseHeaders = dialect.relayAnswer(headers);
   if (framing !== 'connection') {
-    reply.sendWhole(status, relayed, body);
+    reply.send(status, responseHeaders, body);
     return;
   }
-  reply.begin(status, relayed, true);
+  reply.start(status, responseHeaders, true);
   reply.write(body);
   reply.end();
 }
 
-/** Passes on events, at the pace at which the caller reads; `bytes` may be empty. */
+/** Relays events with backpressure from the caller; `bytes` may be empty. */
 export function relayEvents(
   reply: Reply,
   dialect: RequestDialect,
-  sending: Sending,
-  answer: AttemptAnswer,
+  attempt: TrackedAttempt,
+  response: AttemptResponse,
   bytes: Buffer,
 ): void {
   if (reply.isUnsent) {
-    const isEndedByConnection = answer.framing === 'connection';
-    reply.begin(answer.status, dialect.relayAnswer(answer.headers), isEndedByConnection);
+    const isCloseDelimited = response.framing === 'connection';
+    reply.start(response.status, dialect.relayAnswer(response.headers), isCloseDelimited);
   }
   if (bytes.length === 0 || reply.write(bytes)) return;
-  sending.pause();
+  attempt.pause();
   reply.onDrain(() => {
-    sending.resume();
+    attempt.resume();
   });
 }
--- a/src/gateway/requests/shutdown.ts
+++ b/src/gateway/requests/shutdown.ts
@@ -1,6 +1,6 @@
 /**
- * What a stop means for requests: which are still begun, how long they may last, and how those are
- * refused that are not.
+ * Request handling during a graceful shutdown: which requests still start, how long they may run,
+ * and how others are refused.
  */
 import {
   estimateStream,
@@ -13,55 +13,56 @@
 import type { GatewayContext } from '../types.js';
 import type { RequestHead } from './types.js';
 
-/** The request path's view of a stop; while there is none, everything may begin. */
-export interface Stopping {
-  isUnderWay(): boolean;
-  /** Whether the request, if it is begun at `now`, ends before the grace does. */
-  mayBegin(request: RequestHead, now: Milliseconds): boolean;
-  /** Every answer has ended by then; infinite without a stop. */
-  lastAnswerAt(): Milliseconds;
-  /** A request has ended that was sent; what it took tells what others will take. */
-  recordEnd(request: RequestHead, tookMs: Milliseconds): void;
+/** Decides which requests start during a shutdown. Without a shutdown every request may start. */
+export interface ShutdownPolicy {
+  isShuttingDown(): boolean;
+  /** Whether the request, if started at `now`, is expected to end within the grace period. */
+  canStart(request: RequestHead, now: Milliseconds): boolean;
+  /** When every response must have ended; infinite without a shutdown. */
+  responseDeadline(): Milliseconds;
+  /** Records how long a forwarded request took, to correct later estimates. */
+  recordDuration(request: RequestHead, tookMs: Milliseconds): void;
 }
 
-/** How the log names this end. `yuccasail explain` knows it. */
-export const STOPPED = 'the gateway stopped';
+/** Logged reason; `yuccasail explain` matches this text. */
+export const SHUTDOWN_REASON = 'the gateway stopped';
 
-/** The caller's next connection reaches another gateway; one way there and back is enough. */
-const STOPPING_RETRY_MS: Milliseconds = 50;
+/** One round trip: the caller's next connection reaches another gateway. */
+const SHUTDOWN_RETRY_MS: Milliseconds = 50;
 
-export function createStopping({ board, clock }: GatewayContext): Stopping {
+export function createShutdownPolicy({ board, clock }: GatewayContext): ShutdownPolicy {
   const slowness = new SlownessTable();
   return {
-    isUnderWay: () => board.stop.read() !== undefined,
-    mayBegin: (request, now) => {
+    isShuttingDown: () => board.stop.read() !== undefined,
+    canStart: (request, now) => {
       const plan = board.stop.read();
       if (plan === undefined) return true;
-      const { answerBy, route } = request;
-      const expectedMs = estimate(request) * slowness.slownessOf(kindOf(request), now);
+      const { deadline, route } = request;
+      const expectedMs = estimateDuration(request) * slowness.slownessOf(modelKeyOf(request), now);
       return (
-        now <= latestBeginning(plan, { answerBy, expectedMs, isRepeatable: isRepeatable(route) })
+        now <=
+        latestBeginning(plan, { answerBy: deadline, expectedMs, isRepeatable: isRepeatable(route) })
       );
     },
-    lastAnswerAt: () => board.stop.read()?.lastAnswerAt ?? Infinity,
-    recordEnd: (request, tookMs) => {
-      slowness.record(kindOf(request), estimate(request), tookMs, clock.now());
+    responseDeadline: () => board.stop.read()?.lastAnswerAt ?? Infinity,
+    recordDuration: (request, tookMs) => {
+      slowness.record(modelKeyOf(request), estimateDuration(request), tookMs, clock.now());
     },
   };
 }
 
-/** Without a model to tell, the operator's aim is the estimate. */
-function estimate({ service, model, caller, route }: RequestHead): Milliseconds {
+/** Estimates how long the request will run; the route's target time when no model is known. */
+function estimateDuration({ service, model, caller, route }: RequestHead): Milliseconds {
   if (!service.engine || !model) return route.targetMs;
   const { promptTokens, maxOutputTokens } = caller;
   return estimateStream(route, service.engine, model, promptTokens, maxOutputTokens);
 }
 
-function kindOf({ service, model }: RequestHead): string {
+function modelKeyOf({ service, model }: RequestHead): string {
   return `${service.name} ${model?.name ?? ''}`;
 }
 
-/** Tells a caller that its request did not run and that it should go on elsewhere. */
-export function refuseStopped(): Failure<'stopping'> {
-  return createFailure('stopping', undefined, STOPPING_RETRY_MS);
+/** The failure for a request that was not run and can be retried at another gateway. */
+export function createStoppingFailure(): Failure<'stopping'> {
+  return createFailure('stopping', undefined, SHUTDOWN_RETRY_MS);
 }
--- a/src/gateway/requests/stall-limits.ts
+++ b/src/gateway/requests/stall-limits.ts
@@ -1,5 +1,5 @@
 /**
- * How long a sending may stand still before something is wrong.
+ * How long an attempt may make no progress before it counts as stalled.
  */
 import {
   firstEventAfter,
@@ -10,37 +10,40 @@
 import type { ChosenTarget } from './backends.js';
 import type { AdmittedRequest } from './types.js';
 
-/** Silences that count as stalls. */
+/** Times without progress that count as a stall. */
 export interface StallLimits {
-  /** Of the whole backend server. */
-  serverLimitMs: Milliseconds;
-  /** Of this sending alone, while others move there. */
-  ownLimitMs: Milliseconds;
+  /** Without progress of any attempt at the backend server. */
+  serverStallMs: Milliseconds;
+  /** Without progress of this attempt, while others at the backend server progress. */
+  attemptStallMs: Milliseconds;
 }
 
-/** An answer that stands still alone is lost: many times the longest pause between two events. */
-const LOST_ANSWER_MS: Milliseconds = 1_500;
+/** A single response without progress for this long counts as lost. */
+const LOST_RESPONSE_MS: Milliseconds = 1_500;
 
-/** Until the first event; of a request that has to queue, only its own silence counts. */
-export function limitsBeforeAnswer(
+/**
+ * Limits until the first event. A request that queues at the backend server says nothing about the
+ * server, so only the limit of its own attempt applies.
+ */
+export function limitsBeforeFirstEvent(
   { route, model, service, caller }: AdmittedRequest,
   { inFlight, slots }: ChosenTarget,
-  usualFirstMs: Milliseconds,
+  expectedFirstEventMs: Milliseconds,
 ): StallLimits {
   const profile = service.engine;
   if (!profile || !model) {
     const limitMs = plainStallAfter(route.targetMs);
-    return { serverLimitMs: limitMs, ownLimitMs: limitMs };
+    return { serverStallMs: limitMs, attemptStallMs: limitMs };
   }
-  const firstEventMs = firstEventAfter(profile, model, caller.promptTokens, usualFirstMs);
+  const firstEventMs = firstEventAfter(profile, model, caller.promptTokens, expectedFirstEventMs);
   return {
-    serverLimitMs: inFlight < slots ? firstEventMs : Infinity,
-    ownLimitMs: Math.max(LOST_ANSWER_MS, 2 * firstEventMs),
+    serverStallMs: inFlight < slots ? firstEventMs : Infinity,
+    attemptStallMs: Math.max(LOST_RESPONSE_MS, 2 * firstEventMs),
   };
 }
 
-/** Between two events of a stream; undefined for what is not a model's answer. */
-export function limitsWithinAnswer({ service, model }: AdmittedRequest): StallLimits | undefined {
+/** Limits between two events of a stream; undefined for responses that no model generates. */
+export function limitsBetweenEvents({ service, model }: AdmittedRequest): StallLimits | undefined {
   if (!service.engine || !model) return undefined;
-  return { serverLimitMs: stallAfter(service.engine, model), ownLimitMs: LOST_ANSWER_MS };
+  return { serverStallMs: stallAfter(service.engine, model), attemptStallMs: LOST_RESPONSE_MS };
 }
--- a/src/gateway/requests/tracked-attempt.ts
+++ b/src/gateway/requests/tracked-attempt.ts
@@ -1,10 +1,10 @@
 /**
- * One sending of a request to one backend server, as its run and the watchdog see it.
+ * Progress tracking for one attempt at one backend server.
  */
 import type { Clock, Milliseconds } from '../../core/clock/index.js';
 import type {
   Attempt,
-  AttemptAnswer,
+  AttemptResponse,
   AttemptFailure,
   AttemptObserver,
   AttemptRequest,
@@ -14,40 +14,40 @@
 import type { StallLimits } from './stall-limits.js';
 import type { WatchedAttempt } from './watchdog.js';
 
-/** What a run does with the news of its sendings. Nothing comes after a sending is over. */
-export interface SendingOwner {
-  onAnswer(sending: Sending, answer: AttemptAnswer): void;
-  onData(sending: Sending, answer: AttemptAnswer, chunk: Buffer): void;
-  onEnd(sending: Sending, answer: AttemptAnswer): void;
-  onFailure(sending: Sending, failure: AttemptFailure): void;
-  /** `server`: nothing moves there; `answer`: only this answer stands still. */
-  onStall(sending: Sending, kind: 'server' | 'answer'): void;
+/** Receives the events of its attempts; none after an attempt has ended. */
+export interface AttemptOwner {
+  onResponse(attempt: TrackedAttempt, response: AttemptResponse): void;
+  onData(attempt: TrackedAttempt, response: AttemptResponse, chunk: Buffer): void;
+  onEnd(attempt: TrackedAttempt, response: AttemptResponse): void;
+  onFailure(attempt: TrackedAttempt, failure: AttemptFailure): void;
+  /** `server`: no attempt at the server progresses; `response`: only this response is stalled. */
+  onStall(attempt: TrackedAttempt, kind: 'server' | 'response'): void;
 }
 
-/** Collects what comes back and keeps the time of the last sign of life. */
-export class Sending implements AttemptObserver, WatchedAttempt {
-  /** Of an answer that is passed on whole. */
+/** Forwards the events of an attempt to its owner and records when it last made progress. */
+export class TrackedAttempt implements AttemptObserver, WatchedAttempt {
+  /** Chunks of a response that is buffered. */
   readonly body: Buffer[] = [];
-  answer: AttemptAnswer | undefined;
+  response: AttemptResponse | undefined;
   readonly sentAt: Milliseconds;
-  movedAt: Milliseconds;
-  serverLimitMs: Milliseconds;
-  ownLimitMs: Milliseconds;
+  lastProgressAt: Milliseconds;
+  serverStallMs: Milliseconds;
+  attemptStallMs: Milliseconds;
   paused = false;
-  /** Moved on from: what still comes of it is not used. */
-  isOver = false;
+  /** Its owner no longer uses it; later events are ignored. */
+  isEnded = false;
   private attempt: Attempt | undefined;
 
   constructor(
     readonly target: BackendServer,
     limits: StallLimits,
-    private readonly owner: SendingOwner,
+    private readonly owner: AttemptOwner,
     private readonly clock: Clock,
   ) {
-    this.serverLimitMs = limits.serverLimitMs;
-    this.ownLimitMs = limits.ownLimitMs;
+    this.serverStallMs = limits.serverStallMs;
+    this.attemptStallMs = limits.attemptStallMs;
     this.sentAt = clock.now();
-    this.movedAt = this.sentAt;
+    this.lastProgressAt = this.sentAt;
   }
 
   get server(): string {
@@ -58,12 +58,12 @@
     this.attempt = send(request, this);
   }
 
-  /** The backend server sees its connection close. */
+  /** Closes the connection to the backend server. */
   cancel(): void {
     this.attempt?.cancel();
   }
 
-  /** The caller reads slowly: nothing more is read from the backend server either. */
+  /** Backpressure: stops reading from the backend server. */
   pause(): void {
     this.attempt?.pause();
     this.paused = true;
@@ -71,36 +71,36 @@
 
   resume(): void {
     this.paused = false;
-    this.movedAt = this.clock.now();
+    this.lastProgressAt = this.clock.now();
     this.attempt?.resume();
   }
 
-  tighten(limits: StallLimits): void {
-    this.serverLimitMs = limits.serverLimitMs;
-    this.ownLimitMs = limits.ownLimitMs;
+  updateLimits(limits: StallLimits): void {
+    this.serverStallMs = limits.serverStallMs;
+    this.attemptStallMs = limits.attemptStallMs;
   }
 
-  onAnswer(answer: AttemptAnswer): void {
-    this.answer = answer;
-    this.movedAt = this.clock.now();
-    if (!this.isOver) this.owner.onAnswer(this, answer);
+  onResponse(response: AttemptResponse): void {
+    this.response = response;
+    this.lastProgressAt = this.clock.now();
+    if (!this.isEnded) this.owner.onResponse(this, response);
   }
 
   onData(chunk: Buffer): void {
-    if (this.isOver || this.answer === undefined) return;
-    this.movedAt = this.clock.now();
-    this.owner.onData(this, this.answer, chunk);
+    if (this.isEnded || this.response === undefined) return;
+    this.lastProgressAt = this.clock.now();
+    this.owner.onData(this, this.response, chunk);
   }
 
   onEnd(): void {
-    if (!this.isOver && this.answer !== undefined) this.owner.onEnd(this, this.answer);
+    if (!this.isEnded && this.response !== undefined) this.owner.onEnd(this, this.response);
   }
 
   onFailure(failure: AttemptFailure): void {
-    if (!this.isOver) this.owner.onFailure(this, failure);
+    if (!this.isEnded) this.owner.onFailure(this, failure);
   }
 
-  onStall(kind: 'server' | 'answer'): void {
-    if (!this.isOver) this.owner.onStall(this, kind);
+  onStall(kind: 'server' | 'response'): void {
+    if (!this.isEnded) this.owner.onStall(this, kind);
   }
 }
--- a/src/gateway/requests/types.ts
+++ b/src/gateway/requests/types.ts
@@ -1,40 +1,40 @@
 /**
- * A request of a caller on its way through the gateway.
+ * Types of a caller's request inside the gateway.
  */
 import type { IncomingMessage } from 'node:http';
 import type { KeyHolder } from '../../controllers/forwarding/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { CallerRequest, GroupModel, Route, ServingService } from '../../ports/index.js';
 
-/** A request that may be sent on. */
+/** A request that passed admission and can be forwarded. */
 export interface AdmittedRequest {
-  /** The caller's id of this attempt, or one of ours for the logs. */
+  /** The caller's id of this attempt, or a placeholder for the logs. */
   id: string;
   caller: CallerRequest;
   incoming: IncomingMessage;
   body: Buffer | undefined;
-  /** The same for each attempt of the same request. */
+  /** Hash that all attempts of the same request share. */
   fingerprint: string;
   route: Route;
   service: ServingService;
-  /** Present when the service's engines form replicas of it. */
+  /** Present when engines serve the request as replicas of a model. */
   model?: GroupModel;
-  holder?: KeyHolder;
+  keyHolder?: KeyHolder;
   arrivedAt: Milliseconds;
-  /** The final answer is due: the caller's deadline or the route's timeout. */
-  answerBy: Milliseconds;
+  /** The earlier of the caller's deadline and the route's timeout. */
+  deadline: Milliseconds;
 }
 
-/** A request whose body is yet to be read. */
+/** A request whose body has not been read yet. */
 export type RequestHead = Omit<AdmittedRequest, 'body' | 'fingerprint'>;
 
 /** How a request ended, for logs and metrics. */
 export type RequestOutcome =
   | 'answered'
-  /** The backend server's own failure was passed on. */
+  /** A failure response of the backend server was relayed. */
   | 'failedThere'
   | 'refused'
   | 'failed'
-  /** Its stream had begun and was broken off. */
+  /** The response was aborted after its first bytes had been sent. */
   | 'cut'
   | 'callerGone';
--- a/src/gateway/requests/watchdog.ts
+++ b/src/gateway/requests/watchdog.ts
@@ -1,53 +1,52 @@
 /**
- * One timer for all requests: stalls, waits for a target and final deadlines.
+ * Shared timer that checks all attempts for stalls and all requests for timeouts.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { GatewayContext, GatewayPart } from '../types.js';
 import type { Backends } from './backends.js';
 
-/** A sending whose progress is watched. */
+/** An attempt whose progress is checked. */
 export interface WatchedAttempt {
   server: string;
   sentAt: Milliseconds;
-  /** When something last came of this sending, or when it was sent. */
-  movedAt: Milliseconds;
-  /** Silence of the whole backend server that counts as a stall. */
-  serverLimitMs: Milliseconds;
-  /** Silence of this sending alone, while others move there, after which its answer counts as lost. */
-  ownLimitMs: Milliseconds;
-  /** The caller reads slowly: silence is our own doing. */
+  /** When data of this attempt last arrived, or when it was sent. */
+  lastProgressAt: Milliseconds;
+  /** Without progress of any attempt at the backend server for this long, the server is stalled. */
+  serverStallMs: Milliseconds;
+  /** Without progress of this attempt alone for this long, its response counts as lost. */
+  attemptStallMs: Milliseconds;
+  /** Reading is paused by backpressure from the caller, so a stall can't be detected. */
   paused: boolean;
-  /** `server`: nothing moves there; `answer`: only this answer stands still. */
-  onStall(kind: 'server' | 'answer'): void;
+  /** `server`: no attempt at the server progresses; `response`: only this response is stalled. */
+  onStall(kind: 'server' | 'response'): void;
 }
 
-/** A request that is looked at in every round. */
+/** A request with timeouts to check. */
 export interface WatchedRequest {
-  /** Called in each round. */
   onTick(now: Milliseconds): void;
-  /** The grace of a stop is over: its final answer is due at once. */
-  onGraceOver(): void;
+  /** The grace period of a shutdown is over: the request must end now. */
+  onShutdownDeadline(): void;
 }
 
-/** The watch over everything that is under way. */
+/** Checks attempts and requests in flight. */
 export interface Watchdog extends GatewayPart {
   attempts: Set<WatchedAttempt>;
   requests: Set<WatchedRequest>;
-  /** Called in each round, after all requests. */
+  /** Called on each tick, after all requests were checked. */
   onTick(listener: () => void): void;
-  /** Called after each standstill of the process. */
+  /** Called after the process was paused, as by a suspended machine. */
   onPause(listener: () => void): void;
 }
 
-/** While requests are under way: well below the least time after which a stall is believed. */
+/** Interval with requests in flight; well below the shortest stall limit. */
 const TICK_MS: Milliseconds = 50;
-/** While there are none: each round wakes the process. */
+/** Interval without requests in flight; longer, to wake the process less often. */
 const IDLE_TICK_MS: Milliseconds = 100;
 /**
- * A round this late means that the process itself stood still. What backend servers sent meanwhile
- * waits in the sockets, so that silence before this moment is no evidence against them.
+ * A tick this late means that the process was paused. Data of the backend servers may be waiting in
+ * the sockets, so stalls are measured from the end of the pause.
  */
-const PAUSE_MS: Milliseconds = 120;
+const PROCESS_PAUSE_MS: Milliseconds = 120;
 
 export function createWatchdog({ clock, logger }: GatewayContext, backends: Backends): Watchdog {
   const attempts = new Set<WatchedAttempt>();
@@ -68,7 +67,7 @@
     const now = clock.now();
     const lateMs = now - dueAt;
     schedule();
-    if (lateMs > PAUSE_MS) {
+    if (lateMs > PROCESS_PAUSE_MS) {
       resumedAt = now;
       logger.log('gatewayPaused', { lateMs: Math.round(lateMs) });
       for (const listener of pauseListeners) listener();
@@ -79,20 +78,21 @@
   };
   const checkAttempt = (attempt: WatchedAttempt, now: Milliseconds): void => {
     if (attempt.paused || !attempts.has(attempt)) return;
-    const ownSilence = now - Math.max(attempt.movedAt, resumedAt);
-    const isFormer = backends.isFormer(attempt.server, attempt.sentAt);
-    const serverSilence = Math.min(ownSilence, now - backends.lastProgress(attempt.server));
-    if (serverSilence > attempt.serverLimitMs) {
-      const evidence = `nothing came from it for ${Math.round(serverSilence)} ms`;
-      // A former life is silent for good; that is no evidence against the one that has its id now.
-      if (!isFormer) backends.suspect(attempt.server, evidence);
+    const attemptSilenceMs = now - Math.max(attempt.lastProgressAt, resumedAt);
+    const isPrevious = backends.isPreviousProcess(attempt.server, attempt.sentAt);
+    const serverSilenceMs = Math.min(attemptSilenceMs, now - backends.lastProgress(attempt.server));
+    if (serverSilenceMs > attempt.serverStallMs) {
+      const evidence = `no data received for ${Math.round(serverSilenceMs)} ms`;
+      // A previous process never responds again; its successor with the same id is not to blame.
+      if (!isPrevious) backends.suspect(attempt.server, evidence);
       for (const other of [...attempts]) {
-        const isSame = other.server === attempt.server;
-        const isSameLife = isSame && backends.isFormer(other.server, other.sentAt) === isFormer;
-        if (isSameLife && !other.paused) other.onStall('server');
+        const isSameServer = other.server === attempt.server;
+        const isSameProcess =
+          isSameServer && backends.isPreviousProcess(other.server, other.sentAt) === isPrevious;
+        if (isSameProcess && !other.paused) other.onStall('server');
       }
-    } else if (ownSilence > attempt.ownLimitMs) {
-      attempt.onStall('answer');
+    } else if (attemptSilenceMs > attempt.attemptStallMs) {
+      attempt.onStall('response');
     }
   };
   return {
