--- a/src/gateway/backends/attempt.ts
+++ b/src/gateway/backends/attempt.ts
@@ -1,73 +1,73 @@
 /**
- * One sending of a request to one backend server.
+ * One attempt to send a request to one backend server.
  */
 import type { Dispatcher } from 'undici';
 import type { AnswerHead, RequestDialect } from '../../ports/index.js';
 import type { BackendConnection } from './connection.js';
 import type { BackendAddress, ConnectionPool } from './pool.js';
 
-/** A request as it is sent. */
+/** A request to a backend server. */
 export interface AttemptRequest {
-  to: BackendAddress;
+  server: BackendAddress;
   method: string;
   path: string;
   headers: string[];
   body: Buffer | undefined;
-  /** The id that the answer must carry. */
+  /** The id that the response must echo. */
   requestId: string | undefined;
-  /** Take a connection that was never used: it can't be one that the other side has closed. */
-  fresh: boolean;
+  /** Don't reuse a connection, because the server may just have closed an idle one. */
+  requiresNewConnection: boolean;
 }
 
-/** The head of an answer that belongs to the request. */
+/** The head of a response that belongs to the request. */
 export interface AttemptResponse extends AnswerHead {
   status: number;
   headers: string[];
-  /** How the end of the body is told: by its length, by chunks, or by the end of the connection. */
+  /** How the end of the body is marked: content length, chunked encoding, or connection close. */
   framing: 'length' | 'chunks' | 'connection';
 }
 
-/** Why there is no whole answer. */
+/** Why there is no complete response. */
 export type AttemptFailure =
-  /** No byte of the request can have been sent. */
+  /** No byte of the request was sent. */
   | { kind: 'notSent'; reason: string }
   /** The backend server may have run the request. */
   | { kind: 'broken'; reason: string };
 
-/** What is told of an attempt: a head, data and an end, or a failure at any point. */
+/** Receives the events of an attempt: head, data and end, or a failure at any point. */
 export interface AttemptObserver {
-  onResponse(answer: AttemptResponse): void;
+  onResponse(response: AttemptResponse): void;
   onData(chunk: Buffer): void;
   onEnd(): void;
   onFailure(failure: AttemptFailure): void;
 }
 
-/** A sending that is under way. */
+/** An attempt in flight. */
 export interface Attempt {
-  to: BackendAddress;
-  /** Ends it without a word to the observer; the backend server sees its connection close. */
+  server: BackendAddress;
+  /** Closes the connection without notifying the observer. */
   cancel(): void;
   pause(): void;
   resume(): void;
 }
 
-/** Sends requests over the connections of `pool`. */
+/** Starts an attempt. */
 export type AttemptSender = (request: AttemptRequest, observer: AttemptObserver) => Attempt;
 
 export function createAttemptSender(pool: ConnectionPool, dialect: RequestDialect): AttemptSender {
   return (request, observer) => new RunningAttempt(request, observer, pool, dialect).start();
 }
 
-/** Drives one request on one connection. */
+/** Dispatches one request on one connection. */
 class RunningAttempt implements Attempt, Dispatcher.DispatchHandler {
-  readonly to: BackendAddress;
+  readonly server: BackendAddress;
   private readonly connection: BackendConnection;
   private controller: Dispatcher.DispatchController | undefined;
-  private isOver = false;
+  private isFinished = false;
   private framing: AttemptResponse['framing'] = 'length';
-  private bytes = 0;
+  private receivedBytes = 0;
   private expectedBytes: number | undefined;
-  private closesAfter = false;
+  private closeAfterResponse = false;
 
   constructor(
     private readonly request: AttemptRequest,
@@ -75,8 +75,8 @@
     private readonly pool: ConnectionPool,
     private readonly dialect: RequestDialect,
   ) {
-    this.to = request.to;
-    this.connection = pool.acquire(request.to, request.fresh);
+    this.server = request.server;
+    this.connection = pool.acquire(request.server, request.requiresNewConnection);
   }
 
   start(): this {
@@ -88,7 +88,7 @@
           path,
           headers,
           body: body ?? null,
-          // Nothing is sent a second time by the library.
+          // Keeps undici from retrying the request.
           idempotent: false,
         },
         this,
@@ -100,9 +100,9 @@
   }
 
   cancel(): void {
-    if (this.isOver) return;
-    this.isOver = true;
-    this.discard();
+    if (this.isFinished) return;
+    this.isFinished = true;
+    this.closeConnection();
   }
 
   pause(): void {
@@ -118,13 +118,14 @@
   }
 
   onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
-    if (this.isOver || status < 200) return;
+    if (this.isFinished || status < 200) return;
     const headers = readRawHeaders(controller.rawHeaders);
     const head = this.dialect.decodeAnswer(status, headers);
     const { requestId } = this.request;
-    // A late answer to an earlier request of this connection arrives where ours is due.
-    const isForeign = head.requestId === undefined ? !head.notRun : head.requestId !== requestId;
-    if (requestId !== undefined && isForeign) {
+    // Guards against a late response to an earlier request on this connection.
+    const isOtherRequest =
+      head.requestId === undefined ? !head.notRun : head.requestId !== requestId;
+    if (requestId !== undefined && isOtherRequest) {
       this.fail(new Error(`the answer carries the id ${head.requestId ?? '(none)'}`));
       return;
     }
@@ -133,32 +134,32 @@
   }
 
   private readFraming(headers: readonly string[]): void {
-    const length = findHeader(headers, 'content-length');
+    const contentLength = findHeader(headers, 'content-length');
     const isChunked = findHeader(headers, 'transfer-encoding') !== undefined;
-    this.framing = isChunked ? 'chunks' : length === undefined ? 'connection' : 'length';
-    this.expectedBytes = this.framing === 'length' ? Number(length) : undefined;
+    this.framing = isChunked ? 'chunks' : contentLength === undefined ? 'connection' : 'length';
+    this.expectedBytes = this.framing === 'length' ? Number(contentLength) : undefined;
     const connection = findHeader(headers, 'connection') ?? '';
-    this.closesAfter = this.framing === 'connection' || /close/i.test(connection);
+    this.closeAfterResponse = this.framing === 'connection' || /close/i.test(connection);
   }
 
   onResponseData(_controller: Dispatcher.DispatchController, chunk: Buffer): void {
-    this.bytes += chunk.length;
-    if (!this.isOver) this.observer.onData(chunk);
+    this.receivedBytes += chunk.length;
+    if (!this.isFinished) this.observer.onData(chunk);
   }
 
   onResponseEnd(): void {
-    if (this.isOver) return;
+    if (this.isFinished) return;
     if (this.framing === 'connection' && this.connection.state.reset) {
       this.fail(new Error('the connection was reset before the end'));
       return;
     }
-    if (this.expectedBytes !== undefined && this.bytes !== this.expectedBytes) {
-      this.fail(new Error(`the body has ${this.bytes} of ${this.expectedBytes} bytes`));
+    if (this.expectedBytes !== undefined && this.receivedBytes !== this.expectedBytes) {
+      this.fail(new Error(`the body has ${this.receivedBytes} of ${this.expectedBytes} bytes`));
       return;
     }
-    this.isOver = true;
-    if (this.closesAfter) this.discard();
-    else this.pool.release(this.to, this.connection);
+    this.isFinished = true;
+    if (this.closeAfterResponse) this.closeConnection();
+    else this.pool.release(this.server, this.connection);
     this.observer.onEnd();
   }
 
@@ -167,15 +168,15 @@
   }
 
   private fail(error: unknown): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.isFinished) return;
+    this.isFinished = true;
     const reason = error instanceof Error ? error.message : 'unknown error';
-    const wasSent = this.connection.state.connected;
-    this.discard();
-    this.observer.onFailure({ kind: wasSent ? 'broken' : 'notSent', reason });
+    const mayHaveBeenSent = this.connection.state.connected;
+    this.closeConnection();
+    this.observer.onFailure({ kind: mayHaveBeenSent ? 'broken' : 'notSent', reason });
   }
 
-  private discard(): void {
+  private closeConnection(): void {
     this.connection.state.ended = true;
     void this.connection.client.destroy();
   }
--- a/src/gateway/backends/connection.ts
+++ b/src/gateway/backends/connection.ts
@@ -1,54 +1,54 @@
 /**
- * One connection to a backend server, for one request at a time.
+ * A connection to a backend server, used for one request at a time.
  */
 import { connect, type Socket } from 'node:net';
 import { Client } from 'undici';
 import type { Milliseconds } from '../../core/clock/index.js';
 import { parseAddress } from '../../core/listening/index.js';
 
-/** A connection, open or about to be. */
+/** A connection that is open or about to be opened. */
 export interface BackendConnection {
   client: Client;
   state: ConnectionState;
 }
 
-/** What the socket showed. Changed by the socket's events alone. */
+/** State of a connection, updated by socket events and by its pool. */
 export interface ConnectionState {
-  /** The connection was made: what was dispatched may have been sent. */
+  /** The socket was connected, so a dispatched request may have been sent. */
   connected: boolean;
-  /** The other side broke the connection off. */
+  /** The backend server reset the connection. */
   reset: boolean;
-  /** No further request may use it. */
+  /** The connection can't be reused. */
   ended: boolean;
-  /** Lives of its backend server that had ended here when it was opened. */
-  life: number;
-  /** Since when no request uses it. */
+  /** Number of known restarts of the backend server when the connection was opened. */
+  generation: number;
+  /** When the last request on it ended. */
   idleSince: Milliseconds;
 }
 
-/** Ways within a region take a few milliseconds; a lost opening packet is sent again after a second. */
+/** Far above a round trip in a region, and below the SYN retransmission timeout of one second. */
 const CONNECT_TIMEOUT_MS: Milliseconds = 500;
-/** Idle connections are closed by us before the backend server's own timeout, told or not. */
-const IDLE_MS: Milliseconds = 4_000;
-/** Bytes of headers that an answer may have. */
+/** Closes idle connections before the backend server does. */
+const IDLE_TIMEOUT_MS: Milliseconds = 4_000;
+/** Maximum size of response headers. */
 const MAX_HEADER_BYTES = 65_536;
 
 /**
- * A connection to `address`, made with the first request.
+ * Creates a connection to `address` that is opened with its first request.
  *
- * Guards against an answer without a length that is cut by a reset: the parser takes the end of the
- * connection for the end of the answer in both cases. `reset` tells them apart.
+ * The HTTP parser takes a reset for the end of a close-delimited response; `reset` distinguishes it
+ * from a regular close.
  */
 export function openConnection(
   address: string,
-  life: number,
+  generation: number,
   onEnd: () => void,
 ): BackendConnection {
   const state: ConnectionState = {
     connected: false,
     reset: false,
     ended: false,
-    life,
+    generation,
     idleSince: 0,
   };
   const client = new Client(`http://${address}`, {
@@ -58,8 +58,8 @@
     },
     headersTimeout: 0,
     bodyTimeout: 0,
-    keepAliveTimeout: IDLE_MS,
-    keepAliveMaxTimeout: IDLE_MS,
+    keepAliveTimeout: IDLE_TIMEOUT_MS,
+    keepAliveMaxTimeout: IDLE_TIMEOUT_MS,
     maxHeaderSize: MAX_HEADER_BYTES,
   });
   client.on('disconnect', () => {
@@ -76,28 +76,28 @@
 function connectSocket(address: string, state: ConnectionState, callback: ConnectCallback): void {
   const { host, port } = parseAddress(address);
   if (state.ended || state.connected) {
-    // A client connects again on its own; what must run once may not travel that way.
+    // Keeps the client from reconnecting by itself, which could send a request twice.
     callback(new Error('the connection has ended'), null);
     return;
   }
   const socket = connect({ host, port, noDelay: true });
-  let answered = false;
-  const answer: ConnectCallback = (...args) => {
-    if (answered) return;
-    answered = true;
+  let isSettled = false;
+  const settle: ConnectCallback = (...args) => {
+    if (isSettled) return;
+    isSettled = true;
     clearTimeout(timer);
     callback(...args);
   };
   const timer = setTimeout(() => {
-    answer(new Error('connect timeout'), null);
+    settle(new Error('connect timeout'), null);
     socket.destroy();
   }, CONNECT_TIMEOUT_MS);
   socket.on('error', (error: NodeJS.ErrnoException) => {
     if (error.code === 'ECONNRESET' || error.code === 'EPIPE') state.reset = true;
-    answer(error, null);
+    settle(error, null);
   });
   socket.once('connect', () => {
     state.connected = true;
-    answer(null, socket);
+    settle(null, socket);
   });
 }
--- a/src/gateway/backends/pool.ts
+++ b/src/gateway/backends/pool.ts
@@ -1,51 +1,50 @@
 /**
- * Connections to backend servers, kept for the next request.
+ * Pool of reusable connections to backend servers.
  */
 import type { Clock, Milliseconds } from '../../core/clock/index.js';
 import { openConnection, type BackendConnection } from './connection.js';
 
-/** Where a connection goes. The id tells apart servers that used one address in turn. */
+/** Address of a backend server. The id distinguishes servers that use an address in turn. */
 export interface BackendAddress {
   id: string;
   address: string;
 }
 
-/** Connections by backend server. */
+/** Idle connections by backend server. */
 export interface ConnectionPool {
-  /** One that no request uses; a new one when there is none, or when `fresh` is asked for. */
-  acquire(to: BackendAddress, fresh: boolean): BackendConnection;
-  /** The request on it has its whole answer. */
-  release(to: BackendAddress, connection: BackendConnection): void;
+  /** Returns an idle connection, or a new one if there is none or `requiresNew` is set. */
+  acquire(server: BackendAddress, requiresNew: boolean): BackendConnection;
+  /** Returns a connection to the pool after a complete response. */
+  release(server: BackendAddress, connection: BackendConnection): void;
   /**
-   * The server has started again under its id: closes what is kept to its former life, and keeps
-   * nothing of it later. Its connections lead to a process that has ended, or to another address.
+   * Called when a server has restarted under its id. Closes idle connections to the previous
+   * process, and the ones in use once they are released.
    */
   endLife(id: string): void;
-  /** Closes what is kept to servers that `isKnown` does not hold. */
+  /** Closes idle connections to servers that are no longer known. */
   prune(isKnown: (id: string) => boolean): void;
   close(): Promise<void>;
 }
 
 interface PoolOptions {
   clock: Clock;
-  /** Called with each connection that is opened. */
+  /** Called for each new connection. */
   onOpen: () => void;
 }
 
-/** Older idle connections may be closed by the other side at the moment they are used. */
-const REUSE_WITHIN_MS: Milliseconds = 3_000;
-/** Kept to one server; more were needed only in a burst that is over. */
-const MOST_IDLE = 8;
+/** Connections idle for longer are not reused, because the server may be closing them. */
+const MAX_REUSABLE_IDLE_MS: Milliseconds = 3_000;
+const MAX_IDLE_PER_SERVER = 8;
 
 export function createConnectionPool({ clock, onOpen }: PoolOptions): ConnectionPool {
   const idle = new Map<string, BackendConnection[]>();
-  /** Lives that have ended, by id; only ids that have started again are in it. */
-  const ended = new Map<string, number>();
+  /** Number of restarts by server id; servers that have not restarted are absent. */
+  const generations = new Map<string, number>();
 
-  const lifeOf = (id: string): number => ended.get(id) ?? 0;
-  const drop = (id: string, connection: BackendConnection): void => {
-    const kept = idle.get(id)?.filter((other) => other !== connection) ?? [];
-    if (kept.length > 0) idle.set(id, kept);
+  const generationOf = (id: string): number => generations.get(id) ?? 0;
+  const removeIdle = (id: string, connection: BackendConnection): void => {
+    const remaining = idle.get(id)?.filter((other) => other !== connection) ?? [];
+    if (remaining.length > 0) idle.set(id, remaining);
     else idle.delete(id);
   };
   const discard = (connection: BackendConnection): void => {
@@ -58,33 +57,37 @@
     connections.forEach(discard);
   };
   return {
-    acquire: (to, fresh) => {
-      const kept = fresh ? undefined : idle.get(to.id);
-      for (let connection = kept?.pop(); connection; connection = kept?.pop()) {
+    acquire: (server, requiresNew) => {
+      const idleConnections = requiresNew ? undefined : idle.get(server.id);
+      for (
+        let connection = idleConnections?.pop();
+        connection;
+        connection = idleConnections?.pop()
+      ) {
         const { state } = connection;
-        if (!state.ended && clock.now() - state.idleSince < REUSE_WITHIN_MS) return connection;
+        if (!state.ended && clock.now() - state.idleSince < MAX_REUSABLE_IDLE_MS) return connection;
         discard(connection);
       }
       onOpen();
-      const created = openConnection(to.address, lifeOf(to.id), () => {
-        drop(to.id, created);
+      const opened = openConnection(server.address, generationOf(server.id), () => {
+        removeIdle(server.id, opened);
       });
-      return created;
+      return opened;
     },
-    release: (to, connection) => {
+    release: (server, connection) => {
       if (connection.state.ended) return;
-      const kept = idle.get(to.id) ?? [];
-      const isFormer = connection.state.life !== lifeOf(to.id);
-      if (isFormer || kept.length >= MOST_IDLE) {
+      const idleConnections = idle.get(server.id) ?? [];
+      const isOutdated = connection.state.generation !== generationOf(server.id);
+      if (isOutdated || idleConnections.length >= MAX_IDLE_PER_SERVER) {
         discard(connection);
         return;
       }
       connection.state.idleSince = clock.now();
-      kept.push(connection);
-      idle.set(to.id, kept);
+      idleConnections.push(connection);
+      idle.set(server.id, idleConnections);
     },
     endLife: (id) => {
-      ended.set(id, lifeOf(id) + 1);
+      generations.set(id, generationOf(id) + 1);
       closeIdle(id);
     },
     prune: (isKnown) => {
--- a/src/gateway/backends/short-call.ts
+++ b/src/gateway/backends/short-call.ts
@@ -1,5 +1,5 @@
 /**
- * Short calls to engines: orders and reports.
+ * Short HTTP calls to engines: orders and probes.
  */
 import { Agent } from 'undici';
 import type { Milliseconds } from '../../core/clock/index.js';
@@ -7,29 +7,27 @@
 import type { EngineCall, OrderDialect, OrderOutcome } from '../../ports/index.js';
 import type { DueOrder, GroupMember } from '../../controllers/groups/index.js';
 
-/** What a probe showed of an engine. */
+/** Result of probing an engine. */
 export type ProbeOutcome =
   | { kind: 'answers'; pace: number }
   | { kind: 'silent' }
-  /** Nothing listens there, or another backend server does, or another life of this one. */
+  /** Nothing listens there, or another backend server or a restarted process does. */
   | { kind: 'gone' };
 
-/** Orders and probes of engines. No call is repeated here. */
+/** Sends orders and probes to engines, without retries. */
 export interface EngineCalls {
   order(due: DueOrder): Promise<OrderOutcome>;
   probe(member: GroupMember): Promise<ProbeOutcome>;
   close(): Promise<void>;
 }
 
-/** An engine answers an order within some milliseconds; one that does not in this time won't. */
 const ORDER_TIMEOUT_MS: Milliseconds = 700;
-/** Reports need no slot. The longest ways of a region and a busy entry stay well below. */
+/** Engines answer probes without a free slot, so a short timeout is enough. */
 const PROBE_TIMEOUT_MS: Milliseconds = 300;
-/** Orders to one engine come in quick succession, or not at all. */
-const KEPT_MS: Milliseconds = 2_000;
-const OTHER_INSTANCE_STATUS = 421;
+const KEEP_ALIVE_MS: Milliseconds = 2_000;
+const MISDIRECTED_REQUEST_STATUS = 421;
 
-interface CallAnswer {
+interface CallResponse {
   status: number;
   body: string;
 }
@@ -43,19 +41,19 @@
   const agent = new Agent({
     connections: 4,
     pipelining: 1,
-    keepAliveTimeout: KEPT_MS,
+    keepAliveTimeout: KEEP_ALIVE_MS,
     connect: { timeout: PROBE_TIMEOUT_MS },
   });
   const call = (
     address: string,
     { method, path, headers, body }: EngineCall,
     timeoutMs: Milliseconds,
-  ): Promise<CallAnswer> =>
+  ): Promise<CallResponse> =>
     callWithin(timeoutMs, async (signal) => {
       const origin = `http://${address}`;
       const request = { origin, method, path, headers, body: body ?? null, signal };
-      const answer = await agent.request(request);
-      return { status: answer.statusCode, body: await answer.body.text() };
+      const response = await agent.request(request);
+      return { status: response.statusCode, body: await response.body.text() };
     });
   return {
     order: async ({ to, order }) => {
@@ -64,7 +62,7 @@
         const { status } = await call(to.address, encoded, ORDER_TIMEOUT_MS);
         return dialect.decodeOrder(status);
       } catch (error) {
-        return isRefused(error)
+        return isConnectionRefused(error)
           ? { kind: 'gone' }
           : { kind: 'unknown', reason: error instanceof Error ? error.message : 'unknown error' };
       }
@@ -73,21 +71,21 @@
       onProbe();
       try {
         const { status, body } = await call(address, dialect.encodeReport(id), PROBE_TIMEOUT_MS);
-        if (status === OTHER_INSTANCE_STATUS) return { kind: 'gone' };
+        if (status === MISDIRECTED_REQUEST_STATUS) return { kind: 'gone' };
         const report = dialect.decodeReport(body);
-        const isOther = report?.startedAt !== undefined && report.startedAt !== startedAt;
-        if (isOther && startedAt !== undefined) return { kind: 'gone' };
+        const isOtherProcess = report?.startedAt !== undefined && report.startedAt !== startedAt;
+        if (isOtherProcess && startedAt !== undefined) return { kind: 'gone' };
         return { kind: 'answers', pace: report?.pace ?? 1 };
       } catch (error) {
-        // The reason is not lost: the caller logs what it makes of the outcome.
-        return { kind: isRefused(error) ? 'gone' : 'silent' };
+        // The caller logs the outcome.
+        return { kind: isConnectionRefused(error) ? 'gone' : 'silent' };
       }
     },
     close: () => agent.destroy(),
   };
 }
 
-/** Nothing listens at the address: the process has ended. */
-function isRefused(error: unknown): boolean {
+/** Whether nothing listens at the address, because the process has ended. */
+function isConnectionRefused(error: unknown): boolean {
   return error instanceof Error && (error as NodeJS.ErrnoException).code === 'ECONNREFUSED';
 }
--- a/src/gateway/requests/backends.ts
+++ b/src/gateway/requests/backends.ts
@@ -145,8 +145,8 @@
     }
   };
   /**
-   * Requests of all gateways in flight at the server. Gateways that have not reported yet are
-   * assumed to have as many as this one: after a common restart each would otherwise claim all slots.
+   * Requests of all gateways in flight at the server. Gateways that have not reported yet count as
+   * having as many as this one: after a common restart each would otherwise claim all slots.
    */
   const estimateInFlight = (server: string): number => {
     const { byServer, unheard } = board.peerLoad.read();
--- a/src/gateway/requests/request-forwarder.ts
+++ b/src/gateway/requests/request-forwarder.ts
@@ -259,7 +259,7 @@
     this.attempts.add(attempt);
     deps.watchdog.attempts.add(attempt);
     attempt.start(deps.send, {
-      to: { id: server.id, address: server.address },
+      server: { id: server.id, address: server.address },
       method: request.incoming.method ?? 'GET',
       path: request.incoming.url ?? '/',
       headers: deps.context.platform.requests.encodeRequest(request.incoming.rawHeaders, {
@@ -271,7 +271,7 @@
       }),
       body: request.body,
       requestId: request.caller.id,
-      fresh: !this.isRepeatable,
+      requiresNewConnection: !this.isRepeatable,
     });
   }
 
