--- a/features/gateway/explaining.feature
+++ b/features/gateway/explaining.feature
@@ -1,4 +1,4 @@
-Feature: From a failed request's id to its cause, by logs alone
+Feature: The cause of a failed request is found from its id in the logs
 
   # A failed request must be explainable afterwards from its id and the gateways' logs alone.
 
--- a/features/gateway/forwarding.feature
+++ b/features/gateway/forwarding.feature
@@ -1,4 +1,4 @@
-Feature: A gateway passes requests on, and every caller gets one whole answer or a true refusal
+Feature: A gateway forwards requests, and every caller gets one complete response or a definite refusal
 
   Scenario: A plain answer comes back as the backend server gave it
     # Status, body and signature are relayed unchanged; the key is replaced by its workspace.
--- a/features/gateway/forwarding.steps.ts
+++ b/features/gateway/forwarding.steps.ts
@@ -4,7 +4,7 @@
 import type { EngineFault } from './stand-ins/engine.js';
 import { lastAnswer, openSite, type GatewayWorld } from './world.js';
 
-async function startReady(world: GatewayWorld): Promise<void> {
+async function startReadyGateway(world: GatewayWorld): Promise<void> {
   world.gateway = await world.site.startGateway();
   await world.site.whenReady(world.gateway);
 }
@@ -14,7 +14,7 @@
   async function (this: GatewayWorld, servers: number) {
     await openSite(this, servers);
     this.site.configure();
-    await startReady(this);
+    await startReadyGateway(this);
   },
 );
 
@@ -23,7 +23,7 @@
   async function (this: GatewayWorld, servers: number, gapMs: number) {
     await openSite(this, servers, gapMs);
     this.site.configure();
-    await startReady(this);
+    await startReadyGateway(this);
   },
 );
 
--- a/features/gateway/placing.feature
+++ b/features/gateway/placing.feature
@@ -1,4 +1,4 @@
-Feature: Placing requests of many gateways with late news of each other
+Feature: Many gateways place requests with delayed reports of their load
 
   Scenario Outline: A steady load of many gateways spreads over the replicas
     # Guards against herding: gateways with stale load data that all choose the replica that seemed idle.
--- a/features/gateway/quarantine.feature
+++ b/features/gateway/quarantine.feature
@@ -1,4 +1,4 @@
-Feature: A request that ends the servers which run it is kept from the others
+Feature: A request that crashes the servers which run it is quarantined
 
   Scenario Outline: A request that ends each server comes again at every gateway, as <what>
     # Guards against a request that crashes one server after the other as its caller retries everywhere.
--- a/features/gateway/replies.feature
+++ b/features/gateway/replies.feature
@@ -1,4 +1,4 @@
-Feature: An answer that ends early does not look whole
+Feature: An aborted response does not look complete
 
   Scenario Outline: An answer whose end is marked by <mark> is cut
     # Guards against a caller that takes an aborted response for a complete one.
--- a/features/gateway/soak.feature
+++ b/features/gateway/soak.feature
@@ -1,4 +1,4 @@
-Feature: Gateways keep their promises under faults that come together
+Feature: Gateways keep their guarantees under combined faults
 
   # Under random faults no non-repeatable request runs twice, no response reaches the wrong caller, and
   # the site recovers afterwards. "npm run soak" does longer runs with fresh seeds.
--- a/features/gateway/stopping.feature
+++ b/features/gateway/stopping.feature
@@ -1,4 +1,4 @@
-Feature: A gateway that is told to stop loses nothing
+Feature: A gateway shuts down without losing requests
 
   Scenario: A stream is asked for that would outlast what is left of the grace
     # Guards against accepting a stream that can't end within the rest of the grace period.
--- a/features/gateway/stopping.steps.ts
+++ b/features/gateway/stopping.steps.ts
@@ -44,7 +44,7 @@
   body: '{}',
 };
 
-async function openStreams(world: StoppingWorld, takesMs: number): Promise<void> {
+async function openStreamSite(world: StoppingWorld, takesMs: number): Promise<void> {
   world.site = new Site();
   world.answers = [];
   world.attempts = [];
@@ -61,7 +61,7 @@
   world.site.configure({ route: { timeout_ms: DEADLINE_MS } });
 }
 
-async function launch(site: Site, graceMs: number): Promise<GatewayProcess> {
+async function launchReadyGateway(site: Site, graceMs: number): Promise<GatewayProcess> {
   const gateway = await site.launch({ ...site.planGateway(), graceMs });
   await site.whenReady(gateway);
   return gateway;
@@ -90,8 +90,8 @@
 Given(
   'a site whose streams take {int} ms and a ready gateway with a grace of {int} ms',
   async function (this: StoppingWorld, takesMs: number, graceMs: number) {
-    await openStreams(this, takesMs);
-    this.gateway = await launch(this.site, graceMs);
+    await openStreamSite(this, takesMs);
+    this.gateway = await launchReadyGateway(this.site, graceMs);
     await this.site.whenOpen(1);
   },
 );
@@ -174,13 +174,13 @@
 );
 
 Then('the rest of the stream comes from the other gateway', async function (this: StoppingWorld) {
-  const before = readIds(this.attempts[0]?.answer?.body ?? '');
+  const before = readEventIds(this.attempts[0]?.answer?.body ?? '');
   const headers = { ...STREAM_REQUEST.headers, 'Last-Event-Id': String(before.at(-1)) };
   const rest = await ask(this, { ...STREAM_REQUEST, headers }, this.otherGateway);
   assert.ok(rest?.whole);
   const events = this.site.servers[0]?.options.events ?? 0;
   const all = Array.from({ length: events }, (_, index) => index + 1);
-  assert.deepEqual([...before, ...readIds(rest.body)], all);
+  assert.deepEqual([...before, ...readEventIds(rest.body)], all);
 });
 
 Then('explaining it tells {string}', async function (this: StoppingWorld, cause: string) {
@@ -190,7 +190,7 @@
 });
 
 /** Ids of complete events. */
-function readIds(body: string): number[] {
+function readEventIds(body: string): number[] {
   const whole = body.slice(0, body.lastIndexOf('\n\n') + 1);
   return [...whole.matchAll(/^id: (\d+)$/gm)].map(([, id]) => Number(id));
 }
@@ -203,7 +203,7 @@
     await this.site.open();
     await this.site.addServer({ id: 'plain-0', service: 'app', gapMs: takesMs });
     this.site.configure({ route: { timeout_ms: DEADLINE_MS } });
-    this.gateway = await launch(this.site, graceMs);
+    this.gateway = await launchReadyGateway(this.site, graceMs);
   },
 );
 
@@ -320,9 +320,11 @@
 Given(
   'a site with streams and calls, and {int} ready gateways with a grace of {int} ms',
   async function (this: StoppingWorld, gateways: number, graceMs: number) {
-    await openStreams(this, 1_000);
+    await openStreamSite(this, 1_000);
     await this.site.addServer({ id: 'plain-0', service: 'app', gapMs: 50 });
-    await Promise.all(Array.from({ length: gateways }, () => launch(this.site, graceMs)));
+    await Promise.all(
+      Array.from({ length: gateways }, () => launchReadyGateway(this.site, graceMs)),
+    );
     await this.site.whenOpen(1);
   },
 );
--- a/features/gateway/streams.feature
+++ b/features/gateway/streams.feature
@@ -1,4 +1,4 @@
-Feature: A stream goes on elsewhere, with every event once and in order
+Feature: A broken stream resumes at another replica, with every event once and in order
 
   Scenario: An engine breaks a stream off within an event
     # Another replica continues after the last whole event, in the same response.
--- a/features/gateway/streams.steps.ts
+++ b/features/gateway/streams.steps.ts
@@ -9,7 +9,7 @@
 
 const EVENT_GAP_MS = 40;
 
-async function openEngines(world: GatewayWorld, engines: number): Promise<void> {
+async function openEngineSite(world: GatewayWorld, engines: number): Promise<void> {
   world.site = new Site();
   world.answers = [];
   await world.site.open();
@@ -27,7 +27,7 @@
 Given(
   /^a site with (\d+) engines and a ready gateway with (\d+) open groups?$/,
   async function (this: GatewayWorld, engines: string, groups: string) {
-    await openEngines(this, Number(engines));
+    await openEngineSite(this, Number(engines));
     this.gateway = await this.site.startGateway();
     await this.site.whenReady(this.gateway);
     await this.site.whenOpen(Number(groups));
@@ -37,7 +37,7 @@
 Given(
   'a site with {int} engines and no groups',
   async function (this: GatewayWorld, engines: number) {
-    await openEngines(this, engines);
+    await openEngineSite(this, engines);
   },
 );
 
@@ -76,7 +76,7 @@
   return { status, headers, body, whole };
 }
 
-function readIds(body: string): number[] {
+function readEventIds(body: string): number[] {
   return [...body.matchAll(/^id: (\d+)$/gm)].map(([, id]) => Number(id));
 }
 
@@ -115,7 +115,7 @@
   async function (this: GatewayWorld, events: number) {
     const answer = await this.stream.answer;
     const expected = Array.from({ length: events }, (_, index) => index + 1);
-    assert.deepEqual(readIds(answer.body), expected, answer.body);
+    assert.deepEqual(readEventIds(answer.body), expected, answer.body);
     assert.equal(answer.status, 200);
     assert.ok(answer.whole);
     assert.ok(!/data: par(?!t|$)/.test(answer.body));
@@ -143,7 +143,7 @@
   'the caller gets events {int} to {int}',
   function (this: GatewayWorld, from: number, to: number) {
     const expected = Array.from({ length: to - from + 1 }, (_, index) => from + index);
-    assert.deepEqual(readIds(lastAnswer(this).body), expected);
+    assert.deepEqual(readEventIds(lastAnswer(this).body), expected);
     assert.ok(lastAnswer(this).whole);
   },
 );
--- a/features/gateway/waiting.feature
+++ b/features/gateway/waiting.feature
@@ -1,4 +1,4 @@
-Feature: Requests wait at the gateway for a target with room
+Feature: Requests queue at the gateway for a free slot at a target
 
   Scenario: Twice as much comes as can be served
     # Guards against an overload in which serving in order of arrival makes every response late.
