--- /dev/null
+++ b/src/gateway/requests/tracked-attempt.ts
@@ -0,0 +1,106 @@
+/**
+ * Progress tracking for one attempt at one backend server.
+ */
+import type { Clock, Milliseconds } from '../../core/clock/index.js';
+import type {
+  Attempt,
+  AttemptResponse,
+  AttemptFailure,
+  AttemptObserver,
+  AttemptRequest,
+  AttemptSender,
+} from '../backends/attempt.js';
+import type { BackendServer } from '../../ports/index.js';
+import type { StallLimits } from './stall-limits.js';
+import type { WatchedAttempt } from './watchdog.js';
+
+/** Receives the events of its attempts; none after an attempt has ended. */
+export interface AttemptOwner {
+  onResponse(attempt: TrackedAttempt, response: AttemptResponse): void;
+  onData(attempt: TrackedAttempt, response: AttemptResponse, chunk: Buffer): void;
+  onEnd(attempt: TrackedAttempt, response: AttemptResponse): void;
+  onFailure(attempt: TrackedAttempt, failure: AttemptFailure): void;
+  /** `server`: no attempt at the server progresses; `response`: only this response is stalled. */
+  onStall(attempt: TrackedAttempt, kind: 'server' | 'response'): void;
+}
+
+/** Forwards the events of an attempt to its owner and records when it last made progress. */
+export class TrackedAttempt implements AttemptObserver, WatchedAttempt {
+  /** Chunks of a response that is buffered. */
+  readonly body: Buffer[] = [];
+  response: AttemptResponse | undefined;
+  readonly sentAt: Milliseconds;
+  lastProgressAt: Milliseconds;
+  serverStallMs: Milliseconds;
+  attemptStallMs: Milliseconds;
+  paused = false;
+  /** Its owner no longer uses it; later events are ignored. */
+  isEnded = false;
+  private attempt: Attempt | undefined;
+
+  constructor(
+    readonly target: BackendServer,
+    limits: StallLimits,
+    private readonly owner: AttemptOwner,
+    private readonly clock: Clock,
+  ) {
+    this.serverStallMs = limits.serverStallMs;
+    this.attemptStallMs = limits.attemptStallMs;
+    this.sentAt = clock.now();
+    this.lastProgressAt = this.sentAt;
+  }
+
+  get server(): string {
+    return this.target.id;
+  }
+
+  start(send: AttemptSender, request: AttemptRequest): void {
+    this.attempt = send(request, this);
+  }
+
+  /** Closes the connection to the backend server. */
+  cancel(): void {
+    this.attempt?.cancel();
+  }
+
+  /** Backpressure: stops reading from the backend server. */
+  pause(): void {
+    this.attempt?.pause();
+    this.paused = true;
+  }
+
+  resume(): void {
+    this.paused = false;
+    this.lastProgressAt = this.clock.now();
+    this.attempt?.resume();
+  }
+
+  updateLimits(limits: StallLimits): void {
+    this.serverStallMs = limits.serverStallMs;
+    this.attemptStallMs = limits.attemptStallMs;
+  }
+
+  onResponse(response: AttemptResponse): void {
+    this.response = response;
+    this.lastProgressAt = this.clock.now();
+    if (!this.isEnded) this.owner.onResponse(this, response);
+  }
+
+  onData(chunk: Buffer): void {
+    if (this.isEnded || this.response === undefined) return;
+    this.lastProgressAt = this.clock.now();
+    this.owner.onData(this, this.response, chunk);
+  }
+
+  onEnd(): void {
+    if (!this.isEnded && this.response !== undefined) this.owner.onEnd(this, this.response);
+  }
+
+  onFailure(failure: AttemptFailure): void {
+    if (!this.isEnded) this.owner.onFailure(this, failure);
+  }
+
+  onStall(kind: 'server' | 'response'): void {
+    if (!this.isEnded) this.owner.onStall(this, kind);
+  }
+}
