--- a/features/gateway/following.steps.ts
+++ b/features/gateway/following.steps.ts
@@ -10,9 +10,9 @@
 import { createFailure } from '../../src/core/errors/index.js';
 import { createRandom } from '../../src/core/random/index.js';
 import type { ObjectStore, StoreFailure } from '../../src/gateway/store/client.js';
-import { createContactKeeper, type ContactKeeper } from '../../src/gateway/store/contact.js';
-import { createFollower, type Follower } from '../../src/gateway/store/follow.js';
-import type { StoreContact } from '../../src/gateway/types.js';
+import { createReachabilityTracker, type ContactKeeper } from '../../src/gateway/store/contact.js';
+import { createFollower, type Follower } from '../../src/gateway/store/follower.js';
+import type { StoreReachability } from '../../src/gateway/types.js';
 import { waitFor } from '../support/waiting.js';
 
 interface FollowingWorld {
@@ -24,7 +24,7 @@
   throwsLeft: number;
   askAgainMs: number;
   contact: ContactKeeper;
-  section: ReturnType<typeof createSection<StoreContact>>;
+  section: ReturnType<typeof createSection<StoreReachability>>;
 }
 
 const clock = createSystemClock();
@@ -54,9 +54,9 @@
     read: never,
     write: never,
     check: never,
-    renew: () => undefined,
+    replaceConnections: () => undefined,
     era: () => 0,
-    learnEra: () => undefined,
+    observeEra: () => undefined,
     close: () => Promise.resolve(),
   };
   world.follower = createFollower({
@@ -65,9 +65,9 @@
     clock,
     random: createRandom(1),
     watchMs: 8_000,
-    pauseMs: 0,
+    coalesceMs: 0,
     proofDueInMs: () => 1_000,
-    askAgainMs: () => world.askAgainMs,
+    retryAfterMs: () => world.askAgainMs,
     onList: () => {
       if (world.throwsLeft > 0) {
         world.throwsLeft -= 1;
@@ -124,9 +124,9 @@
 });
 
 Given('a gateway that reaches the store', function (this: FollowingWorld) {
-  this.section = createSection<StoreContact>({ reachable: false, since: 0 });
+  this.section = createSection<StoreReachability>({ reachable: false, since: 0 });
   const logger = { log: () => undefined };
-  this.contact = createContactKeeper({ clock, logger }, this.section);
+  this.contact = createReachabilityTracker({ clock, logger }, this.section);
   this.contact.record({ kind: 'read', sentAt: clock.now(), failure: undefined });
 });
 
@@ -142,6 +142,6 @@
   function (this: FollowingWorld) {
     assert.ok(this.section.read().reachable);
     const now = clock.now();
-    assert.equal(this.contact.absentFrom(now), now);
+    assert.equal(this.contact.absenceEffectiveFrom(now), now);
   },
 );
--- a/features/gateway/store-copy.steps.ts
+++ b/features/gateway/store-copy.steps.ts
@@ -259,7 +259,7 @@
       clock: createSystemClock(),
       onCall: () => undefined,
       onOutcome: () => undefined,
-      onReturnFromCopy: () => undefined,
+      onRestore: () => undefined,
     });
     this.store.put('kind', 'object', 'first');
     this.store.keepCopy();
--- a/src/gateway/create-gateway.ts
+++ b/src/gateway/create-gateway.ts
@@ -32,17 +32,17 @@
 import type { GatewaySettings } from './settings.js';
 import { createObjectStore } from './store/client.js';
 import { createConfigurationPart } from './store/configuration-part.js';
-import { createContactCheck } from './store/contact-check.js';
-import { createContactKeeper } from './store/contact.js';
-import { reportDropped } from './store/dropped-items.js';
+import { createReachabilityTracker } from './store/contact.js';
+import { logDroppedItems } from './store/dropped-items.js';
 import { createFleetPart } from './store/fleet-part.js';
 import { eraOf, revisionOf } from './store/place.js';
+import { createReachabilityProbe } from './store/reachability-probe.js';
 import type {
   GatewayBoardWriters,
   GatewayContext,
   PeerLoad,
   ServingPlatform,
-  StoreContact,
+  StoreReachability,
 } from './types.js';
 
 /** A gateway that runs. */
@@ -77,23 +77,23 @@
   const context = createContext(settings, platform, board);
   const { logger, metrics, clock } = context;
   observeBeliefs(context);
-  const contact = createContactKeeper(context, board.storeContact);
+  const reachability = createReachabilityTracker(context, board.storeContact);
   const store = createObjectStore({
     address: settings.store.address,
-    dialect: reportDropped(platform.store, logger),
+    dialect: logDroppedItems(platform.store, logger),
     timeoutMs: settings.store.timeoutMs,
     clock,
     onCall: () => {
       metrics.storeCalls.inc();
     },
     onOutcome: (outcome) => {
-      contact.record(outcome);
+      reachability.record(outcome);
     },
-    onReturnFromCopy: (era, before) => {
+    onRestore: (era, before) => {
       const revision = revisionOf(board.fleet.read().revision);
       logger.log('storeReturnedFromCopy', { era, before, revision });
       metrics.storeReturns.inc();
-      contact.recordReturn();
+      reachability.recordRestore();
       peers.announceAgain();
     },
   });
@@ -106,18 +106,18 @@
   const fleet = createFleetPart({
     context,
     store,
-    contact,
+    reachability,
     section: board.fleet,
     proof: board.fleetProof,
   });
-  contact.onDoubt((at) => {
+  reachability.onDisruption((at) => {
     configuration.follower.doubtCallsBefore(at);
     fleet.follower.doubtCallsBefore(at);
   });
   // A peer's copy may tell of it first.
   board.fleet.subscribe(() => {
     const { revision } = board.fleet.read();
-    if (revision > 0) store.learnEra(eraOf(revision));
+    if (revision > 0) store.observeEra(eraOf(revision));
   });
   const pool = createConnectionPool({
     clock,
@@ -149,8 +149,13 @@
     section: board.peers,
     load: board.peerLoad,
   });
-  const contactCheck = createContactCheck({ context, store, contact, kind: GATEWAY_KIND });
-  const groups = createGroupsPart({ context, store, calls, backends, contact });
+  const reachabilityProbe = createReachabilityProbe({
+    context,
+    store,
+    reachability,
+    kind: GATEWAY_KIND,
+  });
+  const groups = createGroupsPart({ context, store, calls, backends, contact: reachability });
   watchdog.onPause(() => {
     groups.releaseAll();
   });
@@ -169,7 +174,7 @@
   if (listening.isErr()) logger.log('listenFailed', { reason: listening.error.message });
   const peersListening = await peers.listen();
   if (peersListening.isErr()) logger.log('listenFailed', { reason: peersListening.error.message });
-  const parts = [operations, configuration, fleet, watchdog, peers, groups, contactCheck];
+  const parts = [operations, configuration, fleet, watchdog, peers, groups, reachabilityProbe];
   for (const part of parts) part.start();
   logger.log('gatewayStarted', {
     callers: settings.listen.callers,
@@ -216,7 +221,7 @@
     configurationProof: createSection<Proof | undefined>(undefined),
     fleet: createSection<ServingFleet>(EMPTY_FLEET),
     fleetProof: createSection<Proof | undefined>(undefined),
-    storeContact: createSection<StoreContact>({ reachable: false, since: 0 }),
+    storeContact: createSection<StoreReachability>({ reachable: false, since: 0 }),
     peers: createSection<ReadonlyMap<string, GatewayPeer>>(new Map()),
     peerLoad: createSection<PeerLoad>({ byServer: new Map(), unheard: 0, isLate: false }),
     stop: createSection<StopPlan | undefined>(undefined),
--- a/src/gateway/store/client.ts
+++ b/src/gateway/store/client.ts
@@ -1,12 +1,19 @@
 /**
- * The object store over HTTP, in the dialect of the platform.
+ * HTTP client of the object store. The platform's dialect encodes calls and decodes answers.
  */
 import { err, ok, okAsync, ResultAsync, type Result } from 'neverthrow';
 import { Pool } from 'undici';
 import type { Clock, Milliseconds } from '../../core/clock/index.js';
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import { callWithin } from '../../core/timeout/index.js';
-import { eraOf, placeChanges, placeObject, placePage, placeWrite, revisionOf } from './place.js';
+import {
+  eraOf,
+  qualifyChanges,
+  qualifyObject,
+  qualifyPage,
+  qualifyWrite,
+  revisionOf,
+} from './place.js';
 import type {
   StoreCall,
   StoreChanges,
@@ -16,17 +23,17 @@
   WriteAnswer,
 } from '../../ports/index.js';
 
-/** A call to the store that brought nothing; after `platformOutcomeUnknown` a write may stand. */
+/** A failed call to the store. After `platformOutcomeUnknown` a write may have taken effect. */
 export type StoreFailure = Failure<'platformUnavailable' | 'platformOutcomeUnknown'>;
 
-/** What a watch brings. `historyGone`: list again, the changes in between are no longer kept. */
+/** Result of a watch. `historyGone`: the store has discarded the changes; the caller must relist. */
 export type WatchAnswer = { kind: 'changes'; changes: StoreChanges } | { kind: 'historyGone' };
 
-/** The store as the parts of a gateway use it. */
+/** The object store, as used by the components of a gateway. */
 export interface ObjectStore {
-  /** All objects of a kind, over as many pages as there are. */
+  /** All objects of a kind, read page by page. */
   list(kind: string, signal?: AbortSignal): ResultAsync<StorePage, StoreFailure>;
-  /** Undefined when there is no such object. */
+  /** Resolves to undefined when the object does not exist. */
   read(kind: string, name: string): ResultAsync<StoreObject | undefined, StoreFailure>;
   watch(
     kind: string,
@@ -34,24 +41,24 @@
     waitMs: Milliseconds,
     signal: AbortSignal,
   ): ResultAsync<WatchAnswer, StoreFailure>;
-  /** Takes effect only while the object has `revision`; without one, only if it does not exist. */
+  /** Conditional write: requires `revision`, or without one that the object does not exist. */
   write(
     kind: string,
     name: string,
     value: unknown,
     revision?: number,
   ): ResultAsync<WriteAnswer, StoreFailure>;
-  /** Asks for as little as there is to ask for, whether the store answers. */
+  /** The cheapest call that shows whether the store answers. */
   check(kind: string, name: string): ResultAsync<void, StoreFailure>;
   /**
-   * Uses connections that were made before now for no further call; those under way on them go on.
-   * For connections that may bring nothing any more, which only the silence of one of them shows.
+   * Sends further calls on new connections; calls in flight keep theirs. Used when a connection may
+   * have died without being closed.
    */
-  renew(): void;
-  /** How often the store has come back from an older copy, as far as is known. */
+  replaceConnections(): void;
+  /** How often the store has been restored from an older copy, as far as is known. */
   era(): number;
-  /** News of the new history have come another way than by a call. */
-  learnEra(era: number): void;
+  /** Records an era that was learned from a peer rather than from a call. */
+  observeEra(era: number): void;
   close(): Promise<void>;
 }
 
@@ -61,15 +68,15 @@
   dialect: StoreDialect;
   timeoutMs: Milliseconds;
   clock: Clock;
-  /** Called with each call that is sent. */
+  /** Called for each call that is sent. */
   onCall(): void;
-  /** Called with what each call showed of the store, unless its caller ended it. */
+  /** Called with the outcome of each call, unless its caller aborted it. */
   onOutcome(outcome: CallOutcome): void;
-  /** Called when the store has come back from an older copy. */
-  onReturnFromCopy(era: number, before: number): void;
+  /** Called when the store has been restored from an older copy. */
+  onRestore(era: number, before: number): void;
 }
 
-/** What one call showed: the store answered it, or not. */
+/** The outcome of one call, used to track whether the store is reachable. */
 export interface CallOutcome {
   kind: 'read' | 'write';
   sentAt: Milliseconds;
@@ -82,22 +89,18 @@
   era: number;
 }
 
-const CONNECTIONS = 8;
-/** The store answers within milliseconds; a connection that takes longer is made anew. */
+const MAX_CONNECTIONS = 8;
 const CONNECT_TIMEOUT_MS: Milliseconds = 800;
-/**
- * A watch without an answer this long after its time is on a connection that is cut: a store that is
- * slow, at two hundred times its usual 4 ms, still answers within this.
- */
-const WATCH_LATE_MS: Milliseconds = 900;
-/** Pages of one list at most; a page holds about 500 objects. */
-const MOST_PAGES = 100;
-const STATUS_BUSY = 503;
-const LEAST_ERROR_STATUS = 500;
-const STATUS_TOO_MANY = 429;
+/** Added to the wait of a watch before its connection counts as dead; leaves time for a slow store. */
+const WATCH_GRACE_MS: Milliseconds = 900;
+/** Limits one list; a page holds about 500 objects. */
+const MAX_PAGES = 100;
+const STATUS_UNAVAILABLE = 503;
+const MIN_SERVER_ERROR_STATUS = 500;
+const STATUS_TOO_MANY_REQUESTS = 429;
 
 /**
- * A client of the store at one address.
+ * Creates a client of the store at one address.
  *
  * @example const store = createObjectStore(options); const page = await store.list('servers');
  */
@@ -105,27 +108,27 @@
   const { dialect, timeoutMs, clock } = options;
   let pool = createPool(options.address);
   const retired = new Set<Pool>();
-  const renew = (): void => {
-    const old = pool;
+  const replaceConnections = (): void => {
+    const previous = pool;
     pool = createPool(options.address);
-    retired.add(old);
-    // Resolves when the calls under way on it have ended.
-    void old.close().finally(() => retired.delete(old));
+    retired.add(previous);
+    // Resolves once the calls in flight have ended.
+    void previous.close().finally(() => retired.delete(previous));
   };
-  /** Undefined until the store has answered. */
+  /** Undefined until the first answer. */
   let currentEra: number | undefined;
   const era = (): number => currentEra ?? 0;
-  const learnEra = (next: number): void => {
+  const observeEra = (observed: number): void => {
     const before = currentEra;
-    if (before !== undefined && next <= before) return;
-    currentEra = next;
-    if (before !== undefined) options.onReturnFromCopy(next, before);
+    if (before !== undefined && observed <= before) return;
+    currentEra = observed;
+    if (before !== undefined) options.onRestore(observed, before);
   };
-  /** A place in a history that the store has left. */
-  const isFormer = (place: number): boolean => place > 0 && eraOf(place) < era();
-  /** Guards the calls to come: the connections that this one shared may bring nothing either. */
-  const doubt = (used: Pool): void => {
-    if (used === pool) renew();
+  /** Whether a qualified revision belongs to a history that a restore has replaced. */
+  const isFromEarlierEra = (revision: number): boolean => revision > 0 && eraOf(revision) < era();
+  /** After a failed call the other connections of its pool may be dead too. */
+  const replaceIfCurrent = (failedPool: Pool): void => {
+    if (failedPool === pool) replaceConnections();
   };
   const send = (
     call: StoreCall,
@@ -135,16 +138,16 @@
     options.onCall();
     const kind = call.method === 'GET' ? 'read' : 'write';
     const sentAt = clock.now();
-    const used = pool;
+    const usedPool = pool;
     const request = callWithin(
       waitMs,
-      async (ended) => {
-        const { statusCode, headers, body } = await used.request({
+      async (callSignal) => {
+        const { statusCode, headers, body } = await usedPool.request({
           method: call.method,
           path: call.path,
           headers: call.body === undefined ? {} : { 'content-type': 'application/json' },
           body: call.body ?? null,
-          signal: ended,
+          signal: callSignal,
         });
         return {
           status: statusCode,
@@ -159,20 +162,20 @@
     )
       .mapErr((failure) => {
         if (signal?.aborted) return failure;
-        doubt(used);
+        replaceIfCurrent(usedPool);
         options.onOutcome({ kind, sentAt, failure });
         return failure;
       })
       .andThen((answer) => {
-        const refusal = findRefusal(answer);
-        learnEra(answer.era);
-        // From before the return, and late: it tells nothing of the store as it is now.
-        if (!refusal && answer.era < era()) return err(outdated());
-        options.onOutcome({ kind, sentAt, failure: refusal });
+        const rejection = findRejection(answer);
+        observeEra(answer.era);
+        // Sent before the restore and received late: it describes the replaced history.
+        if (!rejection && answer.era < era()) return err(staleAnswer());
+        options.onOutcome({ kind, sentAt, failure: rejection });
         return ok(answer);
       });
   };
-  const listAfter = (
+  const listFrom = (
     kind: string,
     pages: readonly StorePage[],
     signal?: AbortSignal,
@@ -180,34 +183,36 @@
     listPages({ dialect, kind, pages, send: (call) => send(call, timeoutMs, signal) });
 
   return {
-    renew,
-    list: (kind, signal) => new ResultAsync(listAfter(kind, [], signal)),
+    replaceConnections,
+    list: (kind, signal) => new ResultAsync(listFrom(kind, [], signal)),
     read: (kind, name) =>
       send(dialect.read(kind, name), timeoutMs).andThen((answer) => {
         const { status, body } = answer;
         if (status === 404) return ok(undefined);
         const object = status === 200 ? dialect.decodeObject(body) : undefined;
-        return object ? ok(placeObject(object, answer.era)) : err(unreadable(status));
+        return object ? ok(qualifyObject(object, answer.era)) : err(unusableAnswer(status));
       }),
     watch: (kind, since, waitMs, signal) => {
-      if (isFormer(since)) return okAsync({ kind: 'historyGone' });
+      if (isFromEarlierEra(since)) return okAsync({ kind: 'historyGone' });
       return send(
         dialect.watch(kind, revisionOf(since), waitMs),
-        Math.max(timeoutMs, waitMs + WATCH_LATE_MS),
+        Math.max(timeoutMs, waitMs + WATCH_GRACE_MS),
         signal,
       ).andThen((answer): Result<WatchAnswer, StoreFailure> => {
         const { status, body } = answer;
-        if (dialect.isHistoryGone(status) || isFormer(since)) return ok({ kind: 'historyGone' });
+        if (dialect.isHistoryGone(status) || isFromEarlierEra(since))
+          return ok({ kind: 'historyGone' });
         const changes = status === 200 ? dialect.decodeChanges(body) : undefined;
         return changes
-          ? ok({ kind: 'changes', changes: placeChanges(changes, answer.era) })
-          : err(unreadable(status));
+          ? ok({ kind: 'changes', changes: qualifyChanges(changes, answer.era) })
+          : err(unusableAnswer(status));
       });
     },
     check: (kind, name) => send(dialect.check(kind, name), timeoutMs).map(() => undefined),
     write: (kind, name, value, revision) => {
-      // The same number may now stand for another state of the object.
-      if (revision !== undefined && isFormer(revision)) return okAsync({ kind: 'conflict' });
+      // After a restore the same revision may stand for another state of the object.
+      if (revision !== undefined && isFromEarlierEra(revision))
+        return okAsync({ kind: 'conflict' });
       const call =
         revision === undefined
           ? dialect.create(kind, name, value)
@@ -216,14 +221,14 @@
         .mapErr(({ message }): StoreFailure =>
           createFailure('platformOutcomeUnknown', { reason: message }),
         )
-        .andThen(({ status, body, era: answered }): Result<WriteAnswer, StoreFailure> => {
-          if (revision !== undefined && isFormer(revision)) return err(outdatedWrite());
+        .andThen(({ status, body, era: answerEra }): Result<WriteAnswer, StoreFailure> => {
+          if (revision !== undefined && isFromEarlierEra(revision)) return err(staleWrite());
           const answer = dialect.decodeWrite(status, body);
-          return answer ? ok(placeWrite(answer, answered)) : err(refusedWrite(status));
+          return answer ? ok(qualifyWrite(answer, answerEra)) : err(failedWrite(status));
         });
     },
     era,
-    learnEra,
+    observeEra,
     close: async () => {
       await Promise.all([pool, ...retired].map((each) => each.destroy()));
     },
@@ -232,7 +237,7 @@
 
 function createPool(address: string): Pool {
   return new Pool(`http://${address}`, {
-    connections: CONNECTIONS,
+    connections: MAX_CONNECTIONS,
     pipelining: 1,
     connect: { timeout: CONNECT_TIMEOUT_MS },
     headersTimeout: 0,
@@ -240,57 +245,58 @@
   });
 }
 
-/** Something answers, but does nothing for this gateway. */
-function findRefusal({ status }: StoreAnswer): StoreFailure | undefined {
-  const isTurnedAway = status === STATUS_TOO_MANY || status >= LEAST_ERROR_STATUS;
-  return isTurnedAway ? unreadable(status) : undefined;
+/** A failure when the store answered 429 or with a server error. */
+function findRejection({ status }: StoreAnswer): StoreFailure | undefined {
+  const isRejected = status === STATUS_TOO_MANY_REQUESTS || status >= MIN_SERVER_ERROR_STATUS;
+  return isRejected ? unusableAnswer(status) : undefined;
 }
 
-interface ListProgress {
+interface ListOptions {
   dialect: StoreDialect;
   kind: string;
   pages: readonly StorePage[];
   send: (call: StoreCall) => ResultAsync<StoreAnswer, StoreFailure>;
 }
 
-async function listPages(progress: ListProgress): Promise<Result<StorePage, StoreFailure>> {
-  const { dialect, kind, send } = progress;
-  const pages = [...progress.pages];
-  while (pages.length < MOST_PAGES) {
+async function listPages(options: ListOptions): Promise<Result<StorePage, StoreFailure>> {
+  const { dialect, kind, send } = options;
+  const pages = [...options.pages];
+  while (pages.length < MAX_PAGES) {
     const after = pages.at(-1)?.objects.at(-1)?.name;
     const answer = await send(dialect.list(kind, after));
     if (answer.isErr()) return err(answer.error);
     const { status, body, era } = answer.value;
     const page = status === 200 ? dialect.decodePage(body) : undefined;
-    if (page === undefined) return err(unreadable(status));
+    if (page === undefined) return err(unusableAnswer(status));
     const [first] = pages;
-    if (first && eraOf(first.revision) !== era) return err(outdated());
-    pages.push(placePage(page, era));
+    if (first && eraOf(first.revision) !== era) return err(staleAnswer());
+    pages.push(qualifyPage(page, era));
     if (!page.more || page.objects.length === 0) break;
   }
-  // Changes between two pages are brought again by a watch from the first page's revision.
+  // A watch from the first page's revision replays changes made between two pages.
   const revision = pages[0]?.revision ?? 0;
   return ok({ objects: pages.flatMap(({ objects }) => objects), more: false, revision });
 }
 
-function unreadable(status: number): StoreFailure {
+function unusableAnswer(status: number): StoreFailure {
   return createFailure('platformUnavailable', { reason: `status ${status}` });
 }
 
-function outdated(): StoreFailure {
-  const reason = 'the store has come back from a copy meanwhile';
+function staleAnswer(): StoreFailure {
+  const reason = 'the store was restored from an older copy during the call';
   return createFailure('platformUnavailable', { reason });
 }
 
-/** It may have taken effect on the state that has the revision now. */
-function outdatedWrite(): StoreFailure {
-  return createFailure('platformOutcomeUnknown', { reason: outdated().message });
+/** The write may have matched the same revision in the new history. */
+function staleWrite(): StoreFailure {
+  return createFailure('platformOutcomeUnknown', { reason: staleAnswer().message });
 }
 
-/** These statuses say that nothing was done; of any other the outcome is not known. */
-function refusedWrite(status: number): StoreFailure {
-  const isRefusal = status === STATUS_BUSY || status === STATUS_TOO_MANY || status === 400;
-  const kind = isRefusal ? 'platformUnavailable' : 'platformOutcomeUnknown';
+/** With 400, 429 and 503 nothing was written; with any other status the outcome is unknown. */
+function failedWrite(status: number): StoreFailure {
+  const isRejected =
+    status === STATUS_UNAVAILABLE || status === STATUS_TOO_MANY_REQUESTS || status === 400;
+  const kind = isRejected ? 'platformUnavailable' : 'platformOutcomeUnknown';
   return createFailure(kind, { reason: `status ${status}` });
 }
 
--- a/src/gateway/store/configuration-part.ts
+++ b/src/gateway/store/configuration-part.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration in force: the highest version seen, from the store or from a peer.
+ * Tracks the active serving configuration: the highest version received from the store or a peer.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { WritableSection } from '../../board/index.js';
@@ -16,27 +16,24 @@
 import type { ObjectStore } from './client.js';
 import { createFollowerSwitch, type FollowerSwitch } from './follower-switch.js';
 
-/** Keeps the sections `serving` and `configurationProof`. */
+/** Writes the board sections `serving` and `configurationProof`. */
 export interface ConfigurationPart extends GatewayPart {
   follower: FollowerSwitch;
-  /** Takes a version that a peer has in force; an older one changes nothing. */
+  /** Activates `configuration` if it is newer than the active version. */
   take(configuration: ServingConfiguration, source: 'store' | 'peer'): void;
   /**
-   * A peer has `version` in force. A gateway that does not follow the store reads it there: a
-   * configuration may be large, and the store's link bears more than that of a small instance.
+   * Records that a peer has `version` active. A gateway that does not follow the store then reads it
+   * from the store, since a configuration may be too large for the link between gateways.
    */
   hearOf(version: number): void;
-  /** A peer that has `version` in force knew at `at` that there was nothing newer. */
+  /** Records that a peer with `version` active had confirmed at `at` that it was the newest. */
   takeProof(version: number, at: Milliseconds): void;
-  /** Called with each version that the store itself brought. */
+  /** Calls `listener` after a version from the store has become active. */
   onNews(listener: () => void): void;
 }
 
-/**
- * What a peer has heard already may be on its way here; a call that was sent longer ago than the ways of
- * a region take would have brought it.
- */
-const ON_ITS_WAY_MS: Milliseconds = 400;
+/** Network delay within a region: a call sent earlier should have returned a version that a peer has. */
+const PROPAGATION_MS: Milliseconds = 400;
 
 interface ConfigurationPartOptions {
   context: GatewayContext;
@@ -46,8 +43,8 @@
 }
 
 /**
- * Guards against going back: an old copy of the store, or a peer that was away, may offer an older
- * version than the one in force, and requests would then be handled as operators no longer allow.
+ * Never activates a version older than the active one, which a restored store or a peer that was
+ * disconnected may offer: requests would be handled under rules that operators have replaced.
  */
 export function createConfigurationPart({
   context,
@@ -58,14 +55,14 @@
   const { platform, logger, clock } = context;
   const listeners: (() => void)[] = [];
   let isReading = false;
-  /** The newest version that a peer has in force. */
-  let heard = 0;
+  /** The newest version known to be active at a peer. */
+  let newestPeerVersion = 0;
   const { readEveryMs } = boundProofs(context.settings.configuration.applyMs);
-  let readAt = Number.NEGATIVE_INFINITY;
+  let lastReadAt = Number.NEGATIVE_INFINITY;
 
-  const versionInForce = (): number | undefined => section.read()?.configuration.version;
-  const take: ConfigurationPart['take'] = (configuration, source) => {
-    const current = versionInForce();
+  const activeVersion = (): number | undefined => section.read()?.configuration.version;
+  const applyVersion: ConfigurationPart['take'] = (configuration, source) => {
+    const current = activeVersion();
     if (current !== undefined && configuration.version <= current) return;
     section.write(indexConfiguration(configuration));
     logger.log('servingConfigurationTaken', {
@@ -76,55 +73,58 @@
       routes: configuration.routes.length,
     });
   };
-  /** False when the object holds no configuration that can be read. */
-  const takeObject = ({ value, revision }: StoreObject): boolean => {
+  /** Returns false when the object holds no valid configuration. */
+  const applyObject = ({ value, revision }: StoreObject): boolean => {
     const startedAt = clock.now();
     const decoded = platform.decodeConfiguration(value);
     switch (decoded.kind) {
       case 'decoded':
-        take(decoded.configuration, 'store');
+        applyVersion(decoded.configuration, 'store');
         return true;
       case 'invalid':
         logger.log('servingConfigurationRejected', {
           revision,
           reason: decoded.reason,
-          inForce: versionInForce(),
+          inForce: activeVersion(),
           tookMs: Math.round(clock.now() - startedAt),
         });
         return false;
     }
   };
-  /** Of versions that arrive together the newest goes in force; none in between is served. */
-  const takeNewest = (objects: readonly StoreObject[]): void => {
-    const before = versionInForce();
+  /** Activates the newest valid version of `objects` and skips those in between. */
+  const applyNewest = (objects: readonly StoreObject[]): void => {
+    const before = activeVersion();
     objects
       .filter(({ name }) => name === platform.configurationName)
       .sort((one, other) => other.revision - one.revision)
-      .some(takeObject);
-    if (versionInForce() !== before) for (const listener of listeners) listener();
+      .some(applyObject);
+    if (activeVersion() !== before) for (const listener of listeners) listener();
   };
-  /** False when it brought nothing, which shows in the contact with the store. */
-  const read = async (): Promise<boolean> => {
+  /** Returns false when the read failed or found no object. */
+  const readFromStore = async (): Promise<boolean> => {
     const at = clock.now();
     const object = await store.read(platform.configurationKind, platform.configurationName);
     if (object.isErr() || object.value === undefined) return false;
-    takeNewest([object.value]);
+    applyNewest([object.value]);
     proof.write(laterProof(proof.read(), { at, source: 'store' }));
     return true;
   };
-  const waitForTurn = async (): Promise<void> => {
-    const leftMs = readAt + readEveryMs - clock.now();
+  const waitForReadSlot = async (): Promise<void> => {
+    const leftMs = lastReadAt + readEveryMs - clock.now();
     if (leftMs > 0) await sleep(leftMs, undefined, { ref: false });
-    readAt = clock.now();
+    lastReadAt = clock.now();
   };
-  /** Reads until the newest version that was heard of is there; on a failure whoever told tells again. */
-  const readNewest = async (): Promise<void> => {
+  /** Reads until the newest known version is active. Gives up on a failure; peers announce it again. */
+  const readUntilCurrent = async (): Promise<void> => {
     if (isReading) return;
     isReading = true;
-    for (let before = -1; before < heard && (versionInForce() ?? 0) < heard;) {
-      await waitForTurn();
-      before = heard;
-      if (!(await read())) break;
+    for (
+      let before = -1;
+      before < newestPeerVersion && (activeVersion() ?? 0) < newestPeerVersion;
+    ) {
+      await waitForReadSlot();
+      before = newestPeerVersion;
+      if (!(await readFromStore())) break;
     }
     isReading = false;
   };
@@ -133,26 +133,26 @@
     kind: platform.configurationKind,
     context,
     proof,
-    boundMs: context.settings.configuration.applyMs,
-    pauseMs: 0,
+    maxStalenessMs: context.settings.configuration.applyMs,
+    coalesceMs: 0,
     onList: ({ objects }) => {
-      takeNewest(objects);
+      applyNewest(objects);
     },
     onChanges: ({ changes }) => {
-      takeNewest(changes.filter(({ deleted }) => !deleted).map(({ object }) => object));
+      applyNewest(changes.filter(({ deleted }) => !deleted).map(({ object }) => object));
     },
   });
   return {
     follower,
-    take,
+    take: applyVersion,
     hearOf: (version) => {
-      if (version <= (versionInForce() ?? 0)) return;
-      heard = Math.max(heard, version);
-      if (follower.isOn()) follower.doubtCallsBefore(clock.now() - ON_ITS_WAY_MS);
-      else void readNewest();
+      if (version <= (activeVersion() ?? 0)) return;
+      newestPeerVersion = Math.max(newestPeerVersion, version);
+      if (follower.isOn()) follower.doubtCallsBefore(clock.now() - PROPAGATION_MS);
+      else void readUntilCurrent();
     },
     takeProof: (version, at) => {
-      if (version > (versionInForce() ?? 0)) return;
+      if (version > (activeVersion() ?? 0)) return;
       proof.write(laterProof(proof.read(), { at, source: 'peer' }));
     },
     onNews: (listener) => {
--- a/src/gateway/store/contact.ts
+++ b/src/gateway/store/contact.ts
@@ -1,83 +1,82 @@
 /**
- * Whether the store answers this gateway, from all its calls.
+ * Tracks whether the store is reachable, from the outcomes of all calls of this gateway.
  */
 import type { WritableSection } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
-import type { GatewayContext, StoreContact } from '../types.js';
+import type { GatewayContext, StoreReachability } from '../types.js';
 import type { CallOutcome } from './client.js';
 
-/** Entries that lapsed in an outage are back within two seconds of its end; a little is added. */
-export const RETURN_MS: Milliseconds = 2_200;
+/** Time after an outage within which backend servers have rewritten entries that lapsed; they take 2 s. */
+export const ENTRY_RECOVERY_MS: Milliseconds = 2_200;
 
-/** Keeps the section `storeContact`. */
+/** Writes the board section of the store's reachability. */
 export interface ContactKeeper {
   record(outcome: CallOutcome): void;
-  /** When the last call was sent that the store answered. */
-  answeredAt(): Milliseconds;
-  /** The store has come back from a copy: entries that were written since are on their way again. */
-  recordReturn(): void;
-  /** Entries that were lost so may not all be back; what they say is older than what is known. */
+  /** Send time of the latest call that was answered. */
+  lastAnsweredSentAt(): Milliseconds;
+  /** Records that the store was restored from an older copy; lost entries are about to be rewritten. */
+  recordRestore(): void;
+  /** Whether a restore is so recent that entries may be missing or older than what is known. */
   isSettling(): boolean;
-  /** From when on an entry that vanishes now counts as gone: now, or later after an outage. */
-  absentFrom(now: Milliseconds): Milliseconds;
+  /** When an entry that disappears now counts as gone: at once, or later around an outage. */
+  absenceEffectiveFrom(now: Milliseconds): Milliseconds;
   /**
-   * Calls `listener` when the store is lost and when it is back: calls that were sent before `at`
-   * may wait in vain.
+   * Calls `listener` when the store becomes unreachable, reachable again or is restored. Calls sent
+   * before `at` may never be answered.
    */
-  onDoubt(listener: (at: Milliseconds) => void): void;
+  onDisruption(listener: (at: Milliseconds) => void): void;
 }
 
 /**
- * A keeper that believes the store away until it has answered.
+ * Creates a tracker that reports the store unreachable until its first answer.
  *
- * Guards against calls that wait for an answer that will never come: a store that was silent when
- * they were sent forgets them. What one call learns, that the store is lost or back, is told to all
- * that wait.
+ * A store that was unresponsive never answers the calls it received meanwhile. When one call shows a
+ * change of reachability, the listeners can abandon such calls instead of waiting for their timeouts.
  */
-export function createContactKeeper(
+export function createReachabilityTracker(
   { clock, logger }: Pick<GatewayContext, 'clock' | 'logger'>,
-  section: WritableSection<StoreContact>,
+  section: WritableSection<StoreReachability>,
 ): ContactKeeper {
   const listeners: ((at: Milliseconds) => void)[] = [];
-  let returnedAt = Number.NEGATIVE_INFINITY;
-  let returnedFromCopyAt = Number.NEGATIVE_INFINITY;
-  let answeredAt = Number.NEGATIVE_INFINITY;
-  let everReached = false;
+  let recoveredAt = Number.NEGATIVE_INFINITY;
+  let restoredAt = Number.NEGATIVE_INFINITY;
+  let lastAnsweredSentAt = Number.NEGATIVE_INFINITY;
+  let wasEverReachable = false;
 
-  const regain = (now: Milliseconds, awayMs: Milliseconds): void => {
-    if (everReached) returnedAt = now;
-    everReached = true;
-    logger.log('storeRegained', { awayMs: Math.round(awayMs) });
+  const recordRecovery = (now: Milliseconds, outageMs: Milliseconds): void => {
+    if (wasEverReachable) recoveredAt = now;
+    wasEverReachable = true;
+    logger.log('storeRegained', { awayMs: Math.round(outageMs) });
   };
   return {
-    answeredAt: () => answeredAt,
+    lastAnsweredSentAt: () => lastAnsweredSentAt,
     record: ({ kind, sentAt, failure }) => {
       const { reachable, since } = section.read();
       const isReachable = failure === undefined;
-      // What is wrong with a write may be wrong with writes alone: reads tell whether the store is there.
+      // A failed write may concern writes only, such as a rate limit; reads decide reachability.
       if (!isReachable && kind === 'write') return;
-      // A later call was answered: this one says nothing of the store as it is now.
-      if (!isReachable && sentAt < answeredAt) return;
-      if (isReachable) answeredAt = Math.max(answeredAt, sentAt);
+      // A call sent later was answered, so this failure is out of date.
+      if (!isReachable && sentAt < lastAnsweredSentAt) return;
+      if (isReachable) lastAnsweredSentAt = Math.max(lastAnsweredSentAt, sentAt);
       if (isReachable === reachable) return;
       const now = clock.now();
       section.write({ reachable: isReachable, since: now });
-      if (isReachable) regain(now, now - since);
+      if (isReachable) recordRecovery(now, now - since);
       else logger.log('storeLost', { reason: failure.message });
       for (const listener of listeners) listener(isReachable ? sentAt : now);
     },
-    isSettling: () => clock.now() - returnedFromCopyAt < RETURN_MS,
-    recordReturn: () => {
-      returnedAt = clock.now();
-      returnedFromCopyAt = returnedAt;
-      for (const listener of listeners) listener(returnedAt);
+    isSettling: () => clock.now() - restoredAt < ENTRY_RECOVERY_MS,
+    recordRestore: () => {
+      recoveredAt = clock.now();
+      restoredAt = recoveredAt;
+      for (const listener of listeners) listener(recoveredAt);
     },
-    absentFrom: (now) => {
+    absenceEffectiveFrom: (now) => {
       const { reachable } = section.read();
-      if (!reachable) return now + RETURN_MS;
-      return Math.max(now, returnedAt + RETURN_MS);
+      if (!reachable) return now + ENTRY_RECOVERY_MS;
+      return Math.max(now, recoveredAt + ENTRY_RECOVERY_MS);
     },
-    onDoubt: (listener) => {
+    onDisruption: (listener) => {
       listeners.push(listener);
     },
   };
--- a/src/gateway/store/fleet-part.ts
+++ b/src/gateway/store/fleet-part.ts
@@ -1,5 +1,5 @@
 /**
- * The backend servers: their own entries in the store, or what a peer knows while the store is away.
+ * Tracks the backend servers, from their entries in the store or from a peer.
  */
 import type { WritableSection } from '../../board/index.js';
 import { laterProof, type Proof } from '../../controllers/freshness/index.js';
@@ -18,120 +18,120 @@
 import type { BackendServer, StoreChange, StoreObject } from '../../ports/index.js';
 import type { GatewayContext, GatewayPart } from '../types.js';
 import type { ObjectStore } from './client.js';
-import { RETURN_MS, type ContactKeeper } from './contact.js';
+import { ENTRY_RECOVERY_MS, type ContactKeeper } from './contact.js';
 import { createFollowerSwitch, type FollowerSwitch } from './follower-switch.js';
 import { eraOf, revisionOf } from './place.js';
 
-/** Changes of backend servers, as the gateway that follows them passes them on. */
+/** Changes of backend servers, as relayed by the gateway that follows the store for its domain. */
 export interface FleetNews {
-  /** Whoever knows everything up to this revision knows everything up to `revision` with it. */
+  /** The update applies to a fleet that is complete up to this revision. */
   since: number;
   revision: number;
-  /** In how long what is absent counts as gone: after an outage of the store not at once. */
+  /** Delay until absent servers count as gone; not zero around an outage of the store. */
   absentInMs: Milliseconds;
   changes: readonly FleetChange[];
 }
 
-/** All backend servers, as one gateway knows them. */
+/** All backend servers known to one gateway. */
 export interface FleetCopy {
   revision: number;
   servers: readonly BackendServer[];
-  /** Those whose entries vanished, with the time until they count as gone. */
+  /** Servers whose entries have disappeared, with the time left until they count as gone. */
   vanished: readonly { id: string; leftMs: Milliseconds }[];
 }
 
-/** Keeps the section `fleet`. */
+/** Writes the board sections `fleet` and `fleetProof`. */
 export interface FleetPart extends GatewayPart {
   follower: FollowerSwitch;
-  /** A peer that knows everything up to `revision` knew at `at` that there was nothing newer. */
+  /** Records that a peer at `revision` had confirmed at `at` that there was nothing newer. */
   takeProof(revision: number, at: Milliseconds): void;
-  /** Called with each change that came from the store itself. */
+  /** Calls `listener` with each update that came from the store itself. */
   onNews(listener: (news: FleetNews) => void): void;
-  /** Takes what the gateway that follows has heard; a gap is left to {@link takeCopy}. */
+  /** Applies an update from a peer. One that leaves a gap is ignored; a whole copy closes the gap. */
   takeNews(news: FleetNews): void;
   copy(): FleetCopy;
-  /** Takes what a peer has from a later revision of the store. */
+  /** Applies the state of a peer if its revision is later. */
   takeCopy(copy: FleetCopy): void;
 }
 
 interface FleetPartOptions {
   context: GatewayContext;
   store: ObjectStore;
-  contact: ContactKeeper;
+  reachability: ContactKeeper;
   section: WritableSection<ServingFleet>;
   proof: WritableSection<Proof | undefined>;
 }
 
-/**
- * Changes within this span make one call, which is paid for: a replica that forms makes several
- * changes in a row. A lost member is found sooner by other signs.
- */
-const PAUSE_MS: Milliseconds = 150;
-const EXPIRY_EVERY_MS: Milliseconds = 200;
-/** Longer than the store's copies are old. */
-const REMEMBER_GONE_MS: Milliseconds = 60_000;
+/** Changes within this time share one call to the store; forming a replica makes several in a row. */
+const COALESCE_MS: Milliseconds = 150;
+const EXPIRY_INTERVAL_MS: Milliseconds = 200;
+/** Longer than the age of any copy that the store is restored from. */
+const GONE_RETENTION_MS: Milliseconds = 60_000;
 
 export function createFleetPart(options: FleetPartOptions): FleetPart {
-  const { context, store, contact, section, proof } = options;
+  const { context, store, reachability, section, proof } = options;
   const { platform, logger, clock } = context;
   const listeners: ((news: FleetNews) => void)[] = [];
-  /** Lives of servers that are there no more, with the time at which they went. */
-  const gone = new Map<string, Milliseconds>();
-  let expiry: NodeJS.Timeout | undefined;
-  let relist: NodeJS.Timeout | undefined;
-  /** When it was first known that the store had come back from a copy. */
-  let returnedFromCopyAt = Number.NEGATIVE_INFINITY;
+  /** Incarnations of servers that are gone, with the time at which they were removed. */
+  const goneIncarnations = new Map<string, Milliseconds>();
+  let expiryTimer: NodeJS.Timeout | undefined;
+  let relistTimer: NodeJS.Timeout | undefined;
+  /** When this gateway last detected that the store was restored from an older copy. */
+  let restoredAt = Number.NEGATIVE_INFINITY;
 
-  const replace = (next: ServingFleet): void => {
+  const commit = (next: ServingFleet): void => {
     const before = section.read();
     if (next === before) return;
-    noteGone(before, next);
+    recordGone(before, next);
     logChanges(context, before, next);
     section.write(next);
   };
-  const noteGone = (before: ServingFleet, next: ServingFleet): void => {
+  const recordGone = (before: ServingFleet, next: ServingFleet): void => {
     const now = clock.now();
     for (const id of next.changed) {
       const server = before.servers.get(id);
-      if (server && !next.servers.has(id)) gone.set(lifeKey(server), now);
+      if (server && !next.servers.has(id)) goneIncarnations.set(lifeKey(server), now);
     }
-    for (const [life, at] of gone) if (now - at > REMEMBER_GONE_MS) gone.delete(life);
+    for (const [incarnation, at] of goneIncarnations)
+      if (now - at > GONE_RETENTION_MS) goneIncarnations.delete(incarnation);
   };
-  /** A life of a server whose word to leave, or end, was lost with the rest stays out of service. */
-  const keepLeaving = (server: BackendServer): BackendServer => {
+  /** Keeps an incarnation out of service whose leaving or removal was lost in a restore. */
+  const preserveLeaving = (server: BackendServer): BackendServer => {
     const known = section.read().servers.get(server.id);
-    const isSame = known !== undefined && lifeKey(known) === lifeKey(server);
-    const hasLeft = gone.has(lifeKey(server)) || (isSame && known.leaving);
+    const isSameIncarnation = known !== undefined && lifeKey(known) === lifeKey(server);
+    const hasLeft = goneIncarnations.has(lifeKey(server)) || (isSameIncarnation && known.leaving);
     return hasLeft ? { ...server, leaving: true } : server;
   };
   /**
-   * What counts of a list after a return from a copy. At first, of a life that is known, what is known,
-   * which is later than the copy; changes are what the servers write again. One more list, when all have
-   * had the time, brings those that had written before the first.
+   * Reconciles a listed server with the known one after a restore. At first the known state of the
+   * same incarnation wins, since it is later than the restored copy; the servers then rewrite their
+   * entries. A second list picks up entries that were rewritten before the first one.
    */
-  const judgeListed = (server: BackendServer): BackendServer => {
-    const returnedForMs = clock.now() - returnedFromCopyAt;
-    if (returnedForMs >= 2 * RETURN_MS) return server;
+  const reconcileListed = (server: BackendServer): BackendServer => {
+    const sinceRestoreMs = clock.now() - restoredAt;
+    if (sinceRestoreMs >= 2 * ENTRY_RECOVERY_MS) return server;
     const known = section.read().servers.get(server.id);
-    const isKnown = known !== undefined && lifeKey(known) === lifeKey(server);
-    return isKnown && returnedForMs < RETURN_MS ? known : keepLeaving(server);
+    const isSameIncarnation = known !== undefined && lifeKey(known) === lifeKey(server);
+    return isSameIncarnation && sinceRestoreMs < ENTRY_RECOVERY_MS
+      ? known
+      : preserveLeaving(server);
   };
-  /** Whether `revision` is of a later history than what is known; from then on the copy is doubted. */
-  const noteReturn = (revision: number): boolean => {
+  /** Detects from `revision` that the store was restored, and schedules the second list. */
+  const detectRestore = (revision: number): boolean => {
     const known = section.read().revision;
     if (known === 0 || eraOf(revision) <= eraOf(known)) return false;
-    returnedFromCopyAt = clock.now();
-    clearTimeout(relist);
-    relist = setTimeout(() => {
-      follower.listAnew();
-    }, RETURN_MS);
+    restoredAt = clock.now();
+    clearTimeout(relistTimer);
+    relistTimer = setTimeout(() => {
+      follower.relist();
+    }, ENTRY_RECOVERY_MS);
     return true;
   };
   const decode = ({ name, value, revision }: StoreObject): BackendServer | undefined => {
     const known = section.read().servers.get(name);
-    const read = platform.decodeServer(name, value);
-    const server = readEntry(known, read);
-    if (read === undefined || server !== read) {
+    const decoded = platform.decodeServer(name, value);
+    const server = readEntry(known, decoded);
+    if (decoded === undefined || server !== decoded) {
       logger.log('serverEntryRejected', {
         server: name,
         revision: revisionOf(revision),
@@ -145,50 +145,54 @@
     const server = decode(object);
     return server ? [{ kind: 'present', server }] : [];
   };
-  /** From when on what vanishes counts as gone, here and where the news of it come from. */
-  const absentFrom = (now: Milliseconds, inMs: Milliseconds): Milliseconds =>
-    Math.max(contact.absentFrom(now), now + inMs);
-  const apply = ({ revision, absentInMs, changes }: Omit<FleetNews, 'since'>): void => {
+  /** When absent servers count as gone, both here and at the sender of the update. */
+  const absenceEffectiveFrom = (now: Milliseconds, delayMs: Milliseconds): Milliseconds =>
+    Math.max(reachability.absenceEffectiveFrom(now), now + delayMs);
+  const applyChanges = ({ revision, absentInMs, changes }: Omit<FleetNews, 'since'>): void => {
     const now = clock.now();
-    const from = absentFrom(now, absentInMs);
-    replace(applyFleetChanges(section.read(), changes, revision, now, from));
+    const effectiveAt = absenceEffectiveFrom(now, absentInMs);
+    commit(applyFleetChanges(section.read(), changes, revision, now, effectiveAt));
   };
-  /** What the store itself says. */
-  const takeFromStore = (
+  /** Applies changes received from the store and passes them to the listeners. */
+  const applyFromStore = (
     since: number,
     revision: number,
     changes: readonly FleetChange[],
   ): void => {
     const now = clock.now();
-    const absentInMs = contact.absentFrom(now) - now;
-    const news = { since, revision, absentInMs, changes };
-    apply(news);
-    for (const listener of listeners) listener(news);
+    const absentInMs = reachability.absenceEffectiveFrom(now) - now;
+    const update = { since, revision, absentInMs, changes };
+    applyChanges(update);
+    for (const listener of listeners) listener(update);
   };
   const follower = createFollowerSwitch({
     store,
     kind: platform.serverKind,
     context,
     proof,
-    boundMs: context.settings.servers.drainMs,
-    pauseMs: PAUSE_MS,
+    maxStalenessMs: context.settings.servers.drainMs,
+    coalesceMs: COALESCE_MS,
     onList: ({ objects, revision }) => {
       if (revision < section.read().revision) return;
       const known = section.read();
-      const read = objects.map(decode).filter((server) => server !== undefined);
-      const isRewound = noteReturn(revision);
-      const servers = read.map(judgeListed);
-      // No object shows that another one has gone: only the list's own revision is later than that.
-      const isOneGone = hasLeft(known, objects);
-      const newest = Math.max(known.revision, isOneGone ? revision : findNewest(objects));
-      // The others may know more of the former history than this gateway: each takes a whole copy.
-      const since = isRewound ? newest : known.revision;
-      takeFromStore(since, newest, listChanges(known, servers));
+      const decoded = objects.map(decode).filter((server) => server !== undefined);
+      const isRestored = detectRestore(revision);
+      const servers = decoded.map(reconcileListed);
+      // A missing server has no object with a revision; only the list's own revision covers its removal.
+      const isServerMissing = isAnyMissing(known, objects);
+      const newest = Math.max(
+        known.revision,
+        isServerMissing ? revision : findNewestRevision(objects),
+      );
+      // After a restore peers may know more of the old history than this gateway; `since` makes them
+      // fetch a whole copy.
+      const since = isRestored ? newest : known.revision;
+      applyFromStore(since, newest, listChanges(known, servers));
     },
     onChanges: ({ changes }) => {
-      const newest = findNewest(changes.map(({ object }) => object));
+      const newest = findNewestRevision(changes.map(({ object }) => object));
       const { revision } = section.read();
-      takeFromStore(revision, Math.max(revision, newest), changes.flatMap(decodeChange));
+      applyFromStore(revision, Math.max(revision, newest), changes.flatMap(decodeChange));
     },
   });
   return {
@@ -200,9 +204,9 @@
     onNews: (listener) => {
       listeners.push(listener);
     },
-    takeNews: (news) => {
+    takeNews: (update) => {
       const { revision } = section.read();
-      if (news.since <= revision && news.revision > revision) apply(news);
+      if (update.since <= revision && update.revision > revision) applyChanges(update);
     },
     copy: () => {
       const { revision, servers, vanished } = section.read();
@@ -216,45 +220,48 @@
     takeCopy: ({ revision, servers, vanished }) => {
       const before = section.read();
       if (revision <= before.revision) return;
-      noteReturn(revision);
+      detectRestore(revision);
       const now = clock.now();
       const listed = listChanges(before, servers);
-      let next = applyFleetChanges(before, listed, revision, now, absentFrom(now, 0));
+      let next = applyFleetChanges(before, listed, revision, now, absenceEffectiveFrom(now, 0));
       for (const { id, leftMs } of vanished) {
         const absent: FleetChange[] = [{ kind: 'absent', id }];
-        next = applyFleetChanges(next, absent, revision, now, absentFrom(now, leftMs));
+        next = applyFleetChanges(next, absent, revision, now, absenceEffectiveFrom(now, leftMs));
       }
-      const touched = [...listed.map(idOf), ...vanished.map(({ id }) => id)];
-      replace({ ...next, changed: listChanged(before, next.servers, touched) });
+      const affected = [...listed.map(idOf), ...vanished.map(({ id }) => id)];
+      commit({ ...next, changed: listChanged(before, next.servers, affected) });
     },
     start: () => {
-      expiry = setInterval(() => {
-        replace(expireVanished(section.read(), clock.now()));
-      }, EXPIRY_EVERY_MS);
+      expiryTimer = setInterval(() => {
+        commit(expireVanished(section.read(), clock.now()));
+      }, EXPIRY_INTERVAL_MS);
     },
     stop: async () => {
-      clearInterval(expiry);
-      clearTimeout(relist);
+      clearInterval(expiryTimer);
+      clearTimeout(relistTimer);
       await follower.stop();
     },
   };
 }
 
-/** A server that is known, and not about to be forgotten, is not among `objects`. */
-function hasLeft({ servers, vanished }: ServingFleet, objects: readonly StoreObject[]): boolean {
+/** Whether a known server that is not yet marked as vanished is missing from `objects`. */
+function isAnyMissing(
+  { servers, vanished }: ServingFleet,
+  objects: readonly StoreObject[],
+): boolean {
   const names = new Set(objects.map(({ name }) => name));
   return [...servers.keys()].some((id) => !names.has(id) && !vanished.has(id));
 }
 
 /**
- * The last revision of any of `objects`. The store's own revision grows with objects of all kinds,
- * and would make a gateway that has just listed look ahead of one that knows as much.
+ * The highest revision of `objects`. The store's own revision also grows with objects of other kinds
+ * and would make a gateway that has just listed appear ahead of one that knows as much.
  */
-function findNewest(objects: readonly StoreObject[]): number {
+function findNewestRevision(objects: readonly StoreObject[]): number {
   return objects.reduce((newest, { revision }) => Math.max(newest, revision), 0);
 }
 
-/** One line for each backend server that is thought to be something else than before. */
+/** Logs one line for each backend server that has changed. */
 function logChanges({ logger }: GatewayContext, before: ServingFleet, next: ServingFleet): void {
   const revision = revisionOf(next.revision);
   for (const id of next.changed) {
--- a/src/gateway/store/follower-switch.ts
+++ b/src/gateway/store/follower-switch.ts
@@ -1,36 +1,36 @@
 /**
- * A follower of the store that is on while this gateway has to follow itself.
+ * A follower of the store that runs only while this gateway has to follow the store itself.
  */
 import type { WritableSection } from '../../board/index.js';
 import { ageOf, boundProofs, laterProof, type Proof } from '../../controllers/freshness/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { GatewayContext } from '../types.js';
-import { createFollower, type Follower, type FollowOptions } from './follow.js';
+import { createFollower, type Follower, type FollowOptions } from './follower.js';
 
-/** For whom a gateway follows the store. */
+/** On whose behalf a gateway follows the store. */
 export type FollowMode =
-  /** Another gateway tells what it hears. */
+  /** Another gateway relays its updates. */
   | 'off'
-  /** Only for itself, while it can't rely on the one that follows for all. */
+  /** Only for itself, while the gateway that follows for the domain is not reliable. */
   | 'forItself'
   /** For its whole failure domain. */
   | 'forDomain';
 
-/** What is known stays when it is turned off. */
+/** Turning the follower off keeps the data received so far. */
 export interface FollowerSwitch {
   isOn(): boolean;
   turn(mode: FollowMode): void;
   doubtCallsBefore(at: Milliseconds): void;
-  listAnew(): void;
+  relist(): void;
   stop(): Promise<void>;
 }
 
 /**
- * The wait before a silent store is asked again. The one that follows for others asks often: its news
- * of the store's return are everybody's. The others ask seldom, since all of them do in an outage.
- * A store of 4 ms answers within either unless it is a hundred times slower, which only costs calls.
+ * Time without an answer after which a call is repeated. The gateway that follows for its domain
+ * repeats calls often, since the others depend on it; the others do so rarely, to limit the load on
+ * the store during an outage.
  */
-const ASK_AGAIN_MS: Readonly<Record<FollowMode, Milliseconds>> = {
+const RETRY_AFTER_MS: Readonly<Record<FollowMode, Milliseconds>> = {
   off: 1_200,
   forItself: 1_200,
   forDomain: 400,
@@ -38,35 +38,35 @@
 
 interface FollowerSwitchOptions extends Pick<
   FollowOptions,
-  'store' | 'kind' | 'pauseMs' | 'onList' | 'onChanges'
+  'store' | 'kind' | 'coalesceMs' | 'onList' | 'onChanges'
 > {
   context: GatewayContext;
-  /** Within this, gateways must know of a change. */
-  boundMs: Milliseconds;
-  /** Of the belief that the follower keeps, whoever brought it. */
+  /** Time within which gateways must know of a change. */
+  maxStalenessMs: Milliseconds;
+  /** Freshness of the followed data, from the store or a peer. */
   proof: WritableSection<Proof | undefined>;
 }
 
-/** Off at first. */
+/** Creates a switch that is off. */
 export function createFollowerSwitch({
   context,
   proof,
   ...options
 }: FollowerSwitchOptions): FollowerSwitch {
   const { clock, logger, random, settings } = context;
-  const { askAfterMs } = boundProofs(options.boundMs);
+  const { askAfterMs } = boundProofs(options.maxStalenessMs);
   let mode: FollowMode = 'off';
   let follower: Follower | undefined;
-  let ending: Promise<unknown> = Promise.resolve();
+  let stopping: Promise<unknown> = Promise.resolve();
 
-  const begin = (): Follower => {
+  const startFollower = (): Follower => {
     const created = createFollower({
       ...options,
       clock,
       random,
       watchMs: settings.store.watchMs,
       proofDueInMs: () => askAfterMs - (ageOf(proof.read(), clock.now()) ?? Infinity),
-      askAgainMs: () => ASK_AGAIN_MS[mode],
+      retryAfterMs: () => RETRY_AFTER_MS[mode],
       onError: (error) => {
         logger.log('unexpectedError', {
           reason: String(error),
@@ -83,26 +83,26 @@
     created.start();
     return created;
   };
-  const end = (): void => {
-    ending = Promise.all([ending, follower?.stop()]);
+  const stopFollower = (): void => {
+    stopping = Promise.all([stopping, follower?.stop()]);
     follower = undefined;
   };
   return {
     isOn: () => follower !== undefined,
     turn: (next) => {
       mode = next;
-      if (next === 'off') end();
-      else follower ??= begin();
+      if (next === 'off') stopFollower();
+      else follower ??= startFollower();
     },
     doubtCallsBefore: (at) => {
-      follower?.doubtCallsBefore(at);
+      follower?.abortCallsBefore(at);
     },
-    listAnew: () => {
-      follower?.listAnew();
+    relist: () => {
+      follower?.relist();
     },
     stop: async () => {
-      end();
-      await ending;
+      stopFollower();
+      await stopping;
     },
   };
 }
--- /dev/null
+++ b/src/gateway/store/hedged-call.ts
@@ -0,0 +1,63 @@
+/**
+ * Hedged calls: repeats a call on a timer until one of the copies is answered.
+ */
+import { err, type Result, type ResultAsync } from 'neverthrow';
+import type { Clock, Milliseconds } from '../../core/clock/index.js';
+import { createFailure } from '../../core/errors/index.js';
+import type { StoreFailure } from './client.js';
+
+/** Interval of the check for whether the next copy is due; short against any delay between copies. */
+const CHECK_INTERVAL_MS: Milliseconds = 25;
+
+interface HedgedCallOptions<Value> {
+  /** Sends one call that ends when `signal` aborts. */
+  call: (signal: AbortSignal) => ResultAsync<Value, StoreFailure>;
+  /** Time without an answer after which another copy is sent; read again at each check. */
+  hedgeDelayMs: () => Milliseconds;
+  clock: Clock;
+  /** Called before each copy after the first. */
+  onHedge: () => void;
+  signal: AbortSignal;
+}
+
+/**
+ * Resolves with the first answer, or with a failure once all copies in flight have failed.
+ *
+ * A store that becomes unresponsive and recovers never answers calls sent meanwhile; waiting for their
+ * timeout would delay updates by as much. A store that is only slow still answers the first copy.
+ */
+export function callHedged<Value>(
+  options: HedgedCallOptions<Value>,
+): Promise<Result<Value, StoreFailure>> {
+  const settled = new AbortController();
+  const signal = AbortSignal.any([options.signal, settled.signal]);
+  const cancelled = createFailure('platformUnavailable', { reason: 'the call was cancelled' });
+  if (signal.aborted) return Promise.resolve(err(cancelled));
+  return new Promise((resolve) => {
+    let inFlight = 0;
+    let lastSentAt = 0;
+    const finish = (result: Result<Value, StoreFailure>): void => {
+      clearInterval(timer);
+      options.signal.removeEventListener('abort', cancel);
+      resolve(result);
+      settled.abort();
+    };
+    const cancel = (): void => {
+      finish(err(cancelled));
+    };
+    const sendCall = async (): Promise<void> => {
+      lastSentAt = options.clock.now();
+      inFlight += 1;
+      const result = await options.call(signal);
+      inFlight -= 1;
+      if (result.isOk() || inFlight === 0) finish(result);
+    };
+    const timer = setInterval(() => {
+      if (options.clock.now() - lastSentAt < options.hedgeDelayMs()) return;
+      options.onHedge();
+      void sendCall();
+    }, CHECK_INTERVAL_MS);
+    options.signal.addEventListener('abort', cancel, { once: true });
+    void sendCall();
+  });
+}
--- a/src/gateway/store/place.ts
+++ b/src/gateway/store/place.ts
@@ -1,59 +1,58 @@
 /**
- * Places in the store's history, in one number that orders them.
+ * Qualified revisions: a number that combines the store's era and a revision, ordered by era first.
  *
- * A store may come back from a copy some seconds old. It then gives revisions out again, for another
- * history, and says in each answer how often that has happened, its era. Compared by revision alone, news
- * of the new history would count as old, and a write on condition of a revision of the former history
- * would take effect on another state. A place is the era and the revision, compared in that order.
+ * After a restore from an older copy the store assigns the same revisions again. The era, which each
+ * answer carries, counts the restores. Without it, changes after a restore would look old, and a
+ * conditional write could match a revision of another history.
  */
 import type { StoreChanges, StoreObject, StorePage, WriteAnswer } from '../../ports/index.js';
 
-/** Revisions of one era; with it, places of 100,000 eras are whole numbers that compare exactly. */
+/** Keeps qualified revisions of more than 100,000 eras within the safe integers. */
 const REVISIONS_PER_ERA = 2 ** 36;
 
 /**
- * The place of `revision` in the history of `era`.
+ * Combines `era` and `revision`.
  *
- * @example placeOf(1, 7) > placeOf(0, 9_000) // true
+ * @example qualifyRevision(1, 7) > qualifyRevision(0, 9_000) // true
  */
-function placeOf(era: number, revision: number): number {
+function qualifyRevision(era: number, revision: number): number {
   return era * REVISIONS_PER_ERA + Math.min(revision, REVISIONS_PER_ERA - 1);
 }
 
-export function eraOf(place: number): number {
-  return Math.floor(place / REVISIONS_PER_ERA);
+export function eraOf(qualified: number): number {
+  return Math.floor(qualified / REVISIONS_PER_ERA);
 }
 
-export function revisionOf(place: number): number {
-  return place % REVISIONS_PER_ERA;
+export function revisionOf(qualified: number): number {
+  return qualified % REVISIONS_PER_ERA;
 }
 
-/** The object with its place for its revision. */
-export function placeObject(object: StoreObject, era: number): StoreObject {
-  return { ...object, revision: placeOf(era, object.revision) };
+/** Returns the object with its revision qualified. */
+export function qualifyObject(object: StoreObject, era: number): StoreObject {
+  return { ...object, revision: qualifyRevision(era, object.revision) };
 }
 
-export function placePage(page: StorePage, era: number): StorePage {
-  const objects = page.objects.map((object) => placeObject(object, era));
-  return { ...page, objects, revision: placeOf(era, page.revision) };
+export function qualifyPage(page: StorePage, era: number): StorePage {
+  const objects = page.objects.map((object) => qualifyObject(object, era));
+  return { ...page, objects, revision: qualifyRevision(era, page.revision) };
 }
 
-export function placeChanges({ changes, revision }: StoreChanges, era: number): StoreChanges {
-  const placed = changes.map(({ object, deleted }) => ({
-    object: placeObject(object, era),
+export function qualifyChanges({ changes, revision }: StoreChanges, era: number): StoreChanges {
+  const qualified = changes.map(({ object, deleted }) => ({
+    object: qualifyObject(object, era),
     deleted,
   }));
-  return { changes: placed, revision: placeOf(era, revision) };
+  return { changes: qualified, revision: qualifyRevision(era, revision) };
 }
 
-export function placeWrite(answer: WriteAnswer, era: number): WriteAnswer {
+export function qualifyWrite(answer: WriteAnswer, era: number): WriteAnswer {
   switch (answer.kind) {
     case 'written':
-      return { kind: 'written', object: placeObject(answer.object, era) };
+      return { kind: 'written', object: qualifyObject(answer.object, era) };
     case 'conflict':
       return {
         kind: 'conflict',
-        ...(answer.object && { object: placeObject(answer.object, era) }),
+        ...(answer.object && { object: qualifyObject(answer.object, era) }),
       };
     case 'missing':
       return answer;
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -37,7 +37,7 @@
   { kind: 'decoded'; configuration: ServingConfiguration } | { kind: 'invalid'; reason: string };
 
 /** How this gateway stands with the store. */
-export interface StoreContact {
+export interface StoreReachability {
   reachable: boolean;
   /** When that last changed. */
   since: Milliseconds;
@@ -62,7 +62,7 @@
   fleet: Section<ServingFleet>;
   /** Since when what is known of the backend servers is known to be the newest. */
   fleetProof: Section<Proof | undefined>;
-  storeContact: Section<StoreContact>;
+  storeContact: Section<StoreReachability>;
   /** By name. */
   peers: Section<ReadonlyMap<string, GatewayPeer>>;
   peerLoad: Section<PeerLoad>;
@@ -76,7 +76,7 @@
   configurationProof: WritableSection<Proof | undefined>;
   fleet: WritableSection<ServingFleet>;
   fleetProof: WritableSection<Proof | undefined>;
-  storeContact: WritableSection<StoreContact>;
+  storeContact: WritableSection<StoreReachability>;
   peers: WritableSection<ReadonlyMap<string, GatewayPeer>>;
   peerLoad: WritableSection<PeerLoad>;
   stop: WritableSection<StopPlan | undefined>;
