--- a/features/gateway/beliefs.feature
+++ b/features/gateway/beliefs.feature
@@ -2,31 +2,30 @@
 
   Scenario: A newer configuration is in force within the operator's bound
     Given a site with 1 plain server and a ready gateway
-    When the operator takes the key away in a newer version
+    When the operator revokes the key in a newer version
     Then a caller is refused with 401 within 2000 ms
 
   Scenario: An older configuration changes nothing
-    An old copy of the store, or a peer that was away, offers a version below the one in force.
+    # A restored store or a peer that was disconnected may offer an older version.
     Given a site with 1 plain server and a ready gateway
-    When the store shows a version below the one in force without the key
+    When the store returns a version below the active one without the key
     Then a caller is still served
 
   Scenario: A configuration that can not be read changes nothing
     Given a site with 1 plain server and a ready gateway
-    When the store shows a configuration that makes no sense
+    When the store returns an invalid configuration
     Then a caller is still served
     And the gateway has logged "servingConfigurationRejected"
 
   Scenario: The store is down and all entries lapse
-    An outage must not take all capacity out of service: entries lapse while nobody can renew them,
-    and are back a moment after the store's return.
+    # Entries that expire because an outage prevents their renewal must not take servers out of service.
     Given a site with 2 plain servers and a ready gateway
     When the store is down and returns without its entries, and these come back
     Then every caller was served meanwhile
 
   Scenario: A server that is leaving gets nothing new
     Given a site with 2 plain servers and a ready gateway
-    When the first server says that it leaves
+    When the first server announces that it is leaving
     Then no request reaches it later than 2000 ms after that
 
   Scenario: The store forgets its history
@@ -41,9 +40,8 @@
     And the gateway ends by itself with code 0
 
   Scenario: A gateway stops while callers keep their connections open
-    Callers use their open connections on and on. Each is told with an answer that the connection
-    ends; idle ones are closed when the balancer sends nobody any more. A gateway that waited for the
-    callers would be killed with requests under way.
+    # A gateway must close keep-alive connections itself; waiting for the callers to do so would get
+    # it killed with requests in flight.
     Given a site with 1 plain server that takes 50 ms and a ready gateway
     When the gateway is told to stop while 3 callers ask on open connections
     Then no answer was broken off
--- a/features/gateway/beliefs.steps.ts
+++ b/features/gateway/beliefs.steps.ts
@@ -8,7 +8,7 @@
 
 const LIST = { path: '/list/slots' };
 
-When('the operator takes the key away in a newer version', function (this: GatewayWorld) {
+When('the operator revokes the key in a newer version', function (this: GatewayWorld) {
   this.site.configure({ version: 9, keys: ['another-key'] });
 });
 
@@ -24,7 +24,7 @@
 );
 
 When(
-  'the store shows a version below the one in force without the key',
+  'the store returns a version below the active one without the key',
   async function (this: GatewayWorld) {
     const revision = this.site.store.calls;
     this.site.configure({ version: 1, keys: ['another-key'] });
@@ -32,7 +32,7 @@
   },
 );
 
-When('the store shows a configuration that makes no sense', function (this: GatewayWorld) {
+When('the store returns an invalid configuration', function (this: GatewayWorld) {
   this.site.store.put('config', 'main', { version: 9, routes: 'none' });
 });
 
@@ -73,7 +73,7 @@
   for (const { status, body } of this.answers) assert.equal(status, 200, body);
 });
 
-When('the first server says that it leaves', function (this: GatewayWorld) {
+When('the first server announces that it is leaving', function (this: GatewayWorld) {
   this.site.servers[0]?.drain();
 });
 
@@ -88,8 +88,8 @@
     );
     const before = this.site.journal.length;
     for (let index = 0; index < 10; index += 1) await this.site.ask(this.gateway, LIST);
-    const late = this.site.journal.slice(before).filter(({ server }) => server === id);
-    assert.equal(late.length, 0);
+    const misrouted = this.site.journal.slice(before).filter(({ server }) => server === id);
+    assert.equal(misrouted.length, 0);
   },
 );
 
@@ -135,15 +135,15 @@
     void this.gateway.exited.then(() => {
       hasEnded = true;
     });
-    const askOn = async (): Promise<void> => {
+    const requestRepeatedly = async (): Promise<void> => {
       while (!hasEnded) {
-        // A connection that is refused or closed unanswered was never a request of this gateway.
+        // A connection that is refused or closed without an answer carried no request.
         const answer = await this.site.ask(this.gateway, { ...LIST, agent }).catch(() => undefined);
         if (answer) this.answers.push(answer);
         else await nextTurn();
       }
     };
-    const running = Array.from({ length: callers }, askOn);
+    const running = Array.from({ length: callers }, requestRepeatedly);
     await waitFor('some answers', () => this.answers.length > 2 * callers);
     this.gateway.signal('SIGTERM');
     await Promise.all(running);
--- a/features/gateway/configuration-pace.feature
+++ b/features/gateway/configuration-pace.feature
@@ -1,7 +1,6 @@
 Feature: Versions of the configuration that follow each other faster than they must be in force
 
-  # An operator's script changes one route after the other, four versions a second. Each of 63 gateways
-  # read each of them, though the next replaced it a moment later: most calls to the store on that day.
+  # Reading every version of a quick series would multiply the calls to the store by the gateways.
   Scenario: A gateway that another one tells of versions reads some of them, and the last
     Given a gateway that relies on another one, and must have a version in force within 2000 ms
     When it hears of 30 versions, one every 50 ms
--- a/features/gateway/configuration-pace.steps.ts
+++ b/features/gateway/configuration-pace.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Reading of the configuration by a gateway that does not follow the store itself, without sockets.
+ * How often a gateway that does not follow the store reads the configuration, without sockets.
  */
 import assert from 'node:assert/strict';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -60,7 +60,7 @@
 When(
   /^it hears of (\d+) versions?, one every (\d+) ms$/,
   async function (this: PaceWorld, versions: string, everyMs: string) {
-    for (let count = 0; count < Number(versions); count += 1) {
+    for (let sent = 0; sent < Number(versions); sent += 1) {
       this.version += 1;
       this.part.hearOf(this.version);
       await sleep(Number(everyMs));
@@ -74,5 +74,5 @@
 });
 
 Then(/^it has read at most (\d+) times?$/, function (this: PaceWorld, most: string) {
-  assert.ok(this.reads <= Number(most), `${this.reads} readings`);
+  assert.ok(this.reads <= Number(most), `${this.reads} reads`);
 });
--- a/features/gateway/decoders.steps.ts
+++ b/features/gateway/decoders.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Decoders of the adapter and of messages between gateways, given random and damaged bytes.
+ * Decoders of the platform adapter and of messages between gateways, given invalid input.
  */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
@@ -35,9 +35,9 @@
 
 type Json = Record<string, unknown>;
 
-const HOME = 'north';
+const HOME_DOMAIN = 'north';
 const SEED = 5_309;
-const NEWEST = 900;
+const ANSWER_REVISION = 900;
 
 function entryOf(index: number): Json {
   return {
@@ -63,8 +63,8 @@
 
 /** One body of each kind that a gateway reads. */
 const BODIES: readonly unknown[] = [
-  { items: [objectOf(0), objectOf(1)], has_more: false, as_of: NEWEST },
-  { events: [{ object: objectOf(0), deleted: true }], as_of: NEWEST },
+  { items: [objectOf(0), objectOf(1)], has_more: false, as_of: ANSWER_REVISION },
+  { events: [{ object: objectOf(0), deleted: true }], as_of: ANSWER_REVISION },
   objectOf(2),
   entryOf(3),
   exampleConfiguration(),
@@ -91,7 +91,7 @@
   (body) => digestSchema.safeParse(parseJson(body)),
 ];
 
-/** What a field is replaced with; undefined takes it away. */
+/** Replacement of a field; undefined removes it. */
 const REPLACEMENT = fc.oneof(
   fc.constantFrom<unknown>(undefined, null, '', [], {}, -1, 1.5, 1e300, true, '__proto__'),
   fc.constantFrom<unknown>(
@@ -101,7 +101,7 @@
   fc.jsonValue(),
 );
 
-/** One field at any depth, chosen by `at`, with what it becomes. */
+/** One field at any depth, selected by `at`, with its replacement. */
 const DAMAGE = fc.record({ at: fc.nat(), value: REPLACEMENT });
 type Damage = ReturnType<typeof DAMAGE.generate>['value'];
 
@@ -132,18 +132,18 @@
   function (this: DecoderWorld, texts: number, bodies: number) {
     const text = fc.oneof(fc.string({ unit: 'binary' }), fc.json());
     const damaged = fc.record({ body: fc.nat(), damage: DAMAGE, cut: fc.option(fc.nat()) });
-    const given = [
+    const inputs = [
       ...fc.sample(text, { numRuns: texts, seed: SEED }),
       ...fc.sample(damaged, { numRuns: bodies, seed: SEED }).map((each) => {
         const body = toText(damage(BODIES[each.body % BODIES.length], each.damage));
         return each.cut === null ? body : body.slice(0, each.cut % (body.length + 1));
       }),
     ];
-    this.errors = given.flatMap((body) => DECODERS.flatMap((decode) => catchError(decode, body)));
+    this.errors = inputs.flatMap((body) => DECODERS.flatMap((decode) => catchError(decode, body)));
   },
 );
 
-/** As JSON; a value that was taken away is an empty text. */
+/** Encodes as JSON; a removed value becomes an empty string. */
 function toText(value: unknown): string {
   return value === undefined ? '' : JSON.stringify(value);
 }
@@ -170,34 +170,34 @@
     const objects = Array.from({ length: ITEM_COUNT }, (_, index) => objectOf(index));
     const events = objects.map((object) => ({ object, deleted: false }));
     const whole = readPage(objects);
-    this.outcomes = fc.sample(DAMAGED_ITEM, { numRuns: lists, seed: SEED }).flatMap((drawn) => {
-      const name = `i-${drawn.index}`;
-      const page = readPage(damageOne(objects, drawn));
-      const changes = readChanges(damageOne(events, drawn));
-      return [page, changes].map((read) => isSameBut(name, whole, read));
+    this.outcomes = fc.sample(DAMAGED_ITEM, { numRuns: lists, seed: SEED }).flatMap((sample) => {
+      const name = `i-${sample.index}`;
+      const page = readPage(damageItem(objects, sample));
+      const changes = readChanges(damageItem(events, sample));
+      return [page, changes].map((read) => isUnchangedExcept(name, whole, read));
     });
   },
 );
 
-function damageOne(
+function damageItem(
   items: readonly unknown[],
-  { index, damage: drawn }: { index: number; damage: Damage },
+  { index, damage: itemDamage }: { index: number; damage: Damage },
 ): unknown[] {
-  return items.map((item, at) => (at === index ? damage(item, drawn) : item));
+  return items.map((item, at) => (at === index ? damage(item, itemDamage) : item));
 }
 
 function readPage(items: readonly unknown[]): readonly StoreObject[] | undefined {
-  const body = JSON.stringify({ items, has_more: false, as_of: NEWEST });
+  const body = JSON.stringify({ items, has_more: false, as_of: ANSWER_REVISION });
   return platform.store.decodePage(body)?.objects;
 }
 
 function readChanges(events: readonly unknown[]): readonly StoreObject[] | undefined {
-  const body = JSON.stringify({ events, as_of: NEWEST });
+  const body = JSON.stringify({ events, as_of: ANSWER_REVISION });
   return platform.store.decodeChanges(body)?.changes.map(({ object }) => object);
 }
 
-/** Whether all objects but the one of `name` and those under names of nobody are as they were. */
-function isSameBut(
+/** Whether all known objects except the one called `name` are unchanged. */
+function isUnchangedExcept(
   name: string,
   before: readonly StoreObject[] | undefined,
   after: readonly StoreObject[] | undefined,
@@ -205,7 +205,7 @@
   const others = before?.filter((object) => object.name !== name) ?? [];
   const found = new Map(after?.map((object) => [object.name, JSON.stringify(object)]));
   const isKept = others.every((object) => found.get(object.name) === JSON.stringify(object));
-  return isKept && (after?.every(({ revision }) => revision <= NEWEST) ?? false);
+  return isKept && (after?.every(({ revision }) => revision <= ANSWER_REVISION) ?? false);
 }
 
 Then(
@@ -216,22 +216,22 @@
 );
 
 When('one entry of {int} random fleets is damaged', function (this: DecoderWorld, fleets: number) {
-  const before = ITEMS.reduce(
-    (fleet, index) => hear(fleet, `i-${index}`, entryOf(index)),
+  const before = ITEM_INDEXES.reduce(
+    (fleet, index) => applyEntry(fleet, `i-${index}`, entryOf(index)),
     EMPTY_FLEET,
   );
   assert.equal(before.servers.size, ITEM_COUNT);
-  this.fleets = fc.sample(DAMAGED_ITEM, { numRuns: fleets, seed: SEED }).map((drawn) => {
-    const id = `i-${drawn.index}`;
-    const entry = toText(damage(entryOf(drawn.index), drawn.damage));
-    return { id, before, after: hear(before, id, parseJson(entry)) };
+  this.fleets = fc.sample(DAMAGED_ITEM, { numRuns: fleets, seed: SEED }).map((sample) => {
+    const id = `i-${sample.index}`;
+    const entry = toText(damage(entryOf(sample.index), sample.damage));
+    return { id, before, after: applyEntry(before, id, parseJson(entry)) };
   });
 });
 
-const ITEMS = Array.from({ length: ITEM_COUNT }, (_, index) => index);
+const ITEM_INDEXES = Array.from({ length: ITEM_COUNT }, (_, index) => index);
 
-/** `fleet` after the entry `id` was heard of, as a gateway takes it. */
-function hear(fleet: ServingFleet, id: string, entry: unknown): ServingFleet {
+/** Applies the entry `id` to `fleet` as a gateway does. */
+function applyEntry(fleet: ServingFleet, id: string, entry: unknown): ServingFleet {
   const server = readEntry(fleet.servers.get(id), platform.decodeServer(id, entry));
   const changes = server ? [{ kind: 'present' as const, server }] : [];
   return applyFleetChanges(fleet, changes, fleet.revision + 1, 0, 0);
@@ -247,16 +247,15 @@
 });
 
 Then(
-  'the server of the entry can be used only if all that is used of its entry makes sense',
+  'the server of the entry can be used only if its entry is valid',
   function (this: DecoderWorld) {
     const used = this.fleets.flatMap(({ id, after }) => after.servers.get(id) ?? []);
     assert.ok(used.some(({ leaving }) => leaving));
-    for (const server of used)
-      assert.ok(server.leaving || makesSense(server), JSON.stringify(server));
+    for (const server of used) assert.ok(server.leaving || isValid(server), JSON.stringify(server));
   },
 );
 
-function makesSense({ address, slots, startedAt, service }: BackendServer): boolean {
+function isValid({ address, slots, startedAt, service }: BackendServer): boolean {
   const port = Number(address.split(':')[1]);
   const isAddress = Number.isInteger(port) && port > 0 && port < 65_536;
   const hasStart = startedAt !== undefined && Number.isInteger(startedAt);
@@ -268,8 +267,8 @@
 Given(
   'a fleet with one open replica of {int} engines',
   function (this: DecoderWorld, size: number) {
-    this.fleet = ITEMS.slice(0, size).reduce(
-      (fleet, index) => hear(fleet, `i-${index}`, entryOf(index)),
+    this.fleet = ITEM_INDEXES.slice(0, size).reduce(
+      (fleet, index) => applyEntry(fleet, `i-${index}`, entryOf(index)),
       EMPTY_FLEET,
     );
   },
@@ -277,16 +276,16 @@
 
 When('an entry of each of its engines is copied under another name', function (this: DecoderWorld) {
   for (const index of [...this.fleet.servers.keys()].keys()) {
-    this.fleet = hear(this.fleet, `copy-${index}`, entryOf(index));
+    this.fleet = applyEntry(this.fleet, `copy-${index}`, entryOf(index));
   }
 });
 
 Then("requests may still be sent to the replica's own head", function (this: DecoderWorld) {
   const service = { name: 'models', maxConnections: 10, engine: PROFILE };
-  const targets = createTargetDirectory(this.fleet, HOME).find(service, 'small');
+  const targets = createTargetDirectory(this.fleet, HOME_DOMAIN).find(service, 'small');
   assert.ok(
     targets.near.some(({ server }) => server.id === 'i-0'),
-    'its head is no target',
+    'its head is not a target',
   );
 });
 
@@ -307,14 +306,17 @@
   },
 );
 
-When('its second engine claims the place {int}', function (this: DecoderWorld, rank: number) {
+When('its second engine claims the rank {int}', function (this: DecoderWorld, rank: number) {
   const entry = entryOf(1);
-  this.fleet = hear(this.fleet, 'i-1', { ...entry, group: { ...(entry.group as object), rank } });
+  this.fleet = applyEntry(this.fleet, 'i-1', {
+    ...entry,
+    group: { ...(entry.group as object), rank },
+  });
 });
 
 Then('no request may be sent to the replica', function (this: DecoderWorld) {
   const service = { name: 'models', maxConnections: 10, engine: PROFILE };
-  assert.deepEqual(createTargetDirectory(this.fleet, HOME).find(service, 'small'), {
+  assert.deepEqual(createTargetDirectory(this.fleet, HOME_DOMAIN).find(service, 'small'), {
     near: [],
     far: [],
   });
--- a/features/gateway/entries.feature
+++ b/features/gateway/entries.feature
@@ -1,9 +1,7 @@
 Feature: What another writer leaves in the store changes no more than its own name
 
   Scenario: Objects that can not be read stand among the backend servers
-    Another writer leaves objects without a name, without fields and of other types. A gateway that
-    gave up the whole list for one of them would know no backend server, and would hear of none any
-    more.
+    # One unreadable object must not make the gateway reject the whole list.
     Given a site with 1 plain server and objects of every unreadable form among the entries
     When a gateway has started and a second server appears
     Then requests reach both servers
@@ -12,21 +10,18 @@
   Scenario: Objects that can not be read stand beside the configuration
     Given a site with 1 plain server and objects of every unreadable form beside the configuration
     And a gateway that is ready
-    When the operator takes the key away in a newer version
+    When the operator revokes the key in a newer version
     Then a caller is refused with 401 within 2000 ms
 
   Scenario: An entry names the address of another engine
-    # The entry looks like that of an engine that would be ready soonest. Nobody takes its orders: who
-    # is at the address says that it is another. A replica planned with it would never form, and hold
-    # its other members for good.
+    # A replica planned with the false entry would never form and would block its other members.
     Given a site with 4 engines and no groups
     And another writer's entry of an idle engine at the address of the first one
     And a gateway
     Then 2 groups are open in the end
 
   Scenario Outline: An entry of another writer names no backend server to use
-    Callers would be sent to a process that nobody has started, or to one that has said something of
-    itself that nobody understands.
+    # Requests must not be sent to an address or server whose entry is invalid.
     Given a site with 2 plain servers and a ready gateway
     When another writer gives the first server <an entry>
     Then no request reaches the first server from the moment at which the gateway knows
--- a/features/gateway/entries.steps.ts
+++ b/features/gateway/entries.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Entries and objects of another writer, as a gateway's process meets them.
+ * Entries and objects that another writer has left in the store, read by a gateway process.
  */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
@@ -10,12 +10,12 @@
 import type { GatewayWorld } from './world.js';
 
 const LIST = { path: '/list/slots' };
-const ASKED = 12;
-const USUAL_LINES: ReadonlySet<string> = new Set(['requestSent', 'requestAnswered']);
-const TOLD_LINES = 40;
+const REQUEST_COUNT = 12;
+const ROUTINE_EVENTS: ReadonlySet<string> = new Set(['requestSent', 'requestAnswered']);
+const MAX_REPORTED_EVENTS = 40;
 const HUGE = 'x'.repeat(300_000);
 
-/** Items that are no objects, or objects of which not more than the name can be read. */
+/** Items that are not objects, or objects of which at most the name is readable. */
 const UNREADABLE_ITEMS: readonly unknown[] = [
   null,
   7,
@@ -30,7 +30,7 @@
   { metadata: { name: 'line\nbreak', revision: 4 }, spec: { service: 'app', address: '::' } },
 ];
 
-async function openWithRubbish(world: GatewayWorld, kind: string): Promise<void> {
+async function openWithUnreadableItems(world: GatewayWorld, kind: string): Promise<void> {
   world.site = new Site();
   await world.site.open();
   UNREADABLE_ITEMS.forEach((item, index) => {
@@ -43,14 +43,14 @@
 Given(
   'a site with 1 plain server and objects of every unreadable form among the entries',
   async function (this: GatewayWorld) {
-    await openWithRubbish(this, 'servers');
+    await openWithUnreadableItems(this, 'servers');
   },
 );
 
 Given(
   'a site with 1 plain server and objects of every unreadable form beside the configuration',
   async function (this: GatewayWorld) {
-    await openWithRubbish(this, 'config');
+    await openWithUnreadableItems(this, 'config');
   },
 );
 
@@ -78,11 +78,11 @@
 });
 
 Then('requests reach both servers', async function (this: GatewayWorld) {
-  await whenAllServe(this);
+  await waitUntilAllServe(this);
 });
 
-/** What another writer makes of a whole entry. */
-const FORGERIES: Readonly<Record<string, (entry: Record<string, unknown>) => unknown>> = {
+/** Invalid entries that another writer derives from a valid one. */
+const FORGED_ENTRIES: Readonly<Record<string, (entry: Record<string, unknown>) => unknown>> = {
   'the state "paused"': (entry) => ({ ...entry, state: 'paused' }),
   'the state 7': (entry) => ({ ...entry, state: 7 }),
   'no address': (entry) => ({ ...entry, address: undefined }),
@@ -105,12 +105,12 @@
 When(
   /^another writer gives the first server (.*)$/,
   async function (this: GatewayWorld, what: string) {
-    await whenAllServe(this);
+    await waitUntilAllServe(this);
     const { id } = firstServer(this).options;
     const entry = this.site.store.read('servers', id) as Record<string, unknown>;
-    const forge = FORGERIES[what];
-    assert.ok(forge, what);
-    this.site.store.put('servers', id, forge(entry));
+    const forgeEntry = FORGED_ENTRIES[what];
+    assert.ok(forgeEntry, what);
+    this.site.store.put('servers', id, forgeEntry(entry));
     await waitFor('the gateway to know', () =>
       this.gateway.lines.some((line) => line.name === 'serverEntryRejected' && line.server === id),
     );
@@ -122,11 +122,11 @@
   async function (this: GatewayWorld) {
     const { id } = firstServer(this).options;
     const before = this.site.journal.length;
-    for (let index = 0; index < ASKED; index += 1) {
+    for (let index = 0; index < REQUEST_COUNT; index += 1) {
       assert.equal((await this.site.ask(this.gateway, LIST)).status, 200);
     }
-    const late = this.site.journal.slice(before).filter(({ server }) => server === id);
-    assert.equal(late.length, 0);
+    const misrouted = this.site.journal.slice(before).filter(({ server }) => server === id);
+    assert.equal(misrouted.length, 0);
   },
 );
 
@@ -134,21 +134,21 @@
   'requests reach both servers again once the first server has written its entry',
   async function (this: GatewayWorld) {
     firstServer(this).report();
-    await whenAllServe(this);
+    await waitUntilAllServe(this);
   },
 );
 
-/** Resolves when new requests have reached all servers; what the gateway logged says why not. */
-async function whenAllServe({ site, gateway }: GatewayWorld): Promise<void> {
+/** Resolves when new requests have reached all servers; a failure reports what the gateway logged. */
+async function waitUntilAllServe({ site, gateway }: GatewayWorld): Promise<void> {
   const before = site.journal.length;
   try {
     await waitFor('requests at all servers', async () => {
       await site.ask(gateway, LIST);
-      const reached = new Set(site.journal.slice(before).map(({ server }) => server));
-      return reached.size === site.servers.length;
+      const serversReached = new Set(site.journal.slice(before).map(({ server }) => server));
+      return serversReached.size === site.servers.length;
     });
   } catch (error) {
-    const told = gateway.lines.filter(({ name }) => !USUAL_LINES.has(String(name)));
-    throw new Error(JSON.stringify(told.slice(0, TOLD_LINES)), { cause: error });
+    const unusualEvents = gateway.lines.filter(({ name }) => !ROUTINE_EVENTS.has(String(name)));
+    throw new Error(JSON.stringify(unusualEvents.slice(0, MAX_REPORTED_EVENTS)), { cause: error });
   }
 }
--- a/features/gateway/following.steps.ts
+++ b/features/gateway/following.steps.ts
@@ -1,5 +1,5 @@
 /**
- * The loop that follows the store, and the contact that all calls make, without sockets.
+ * The follower and the reachability tracker, without sockets.
  */
 import assert from 'node:assert/strict';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -17,13 +17,13 @@
 
 interface FollowingWorld {
   follower: Follower;
-  /** Calls that the store was sent. */
-  asked: number;
-  /** Lists that were taken to the end. */
-  taken: number;
-  throwsLeft: number;
-  askAgainMs: number;
-  contact: ContactKeeper;
+  /** Calls sent to the store. */
+  calls: number;
+  /** Lists processed without an exception. */
+  listsProcessed: number;
+  remainingThrows: number;
+  retryAfterMs: number;
+  reachability: ContactKeeper;
   section: ReturnType<typeof createSection<StoreReachability>>;
 }
 
@@ -33,27 +33,27 @@
   await this.follower?.stop();
 });
 
-function follow(world: FollowingWorld, isSilent: boolean): void {
-  world.asked = 0;
-  world.taken = 0;
-  world.throwsLeft = 0;
-  const count = (): void => {
-    world.asked += 1;
+function startFollower(world: FollowingWorld, isSilent: boolean): void {
+  world.calls = 0;
+  world.listsProcessed = 0;
+  world.remainingThrows = 0;
+  const countCall = (): void => {
+    world.calls += 1;
   };
-  const never = <Value>(): ResultAsync<Value, StoreFailure> =>
+  const neverAnswered = <Value>(): ResultAsync<Value, StoreFailure> =>
     new ResultAsync(new Promise(() => undefined));
   const store: ObjectStore = {
     list: () => {
-      count();
-      return isSilent ? never() : okAsync({ objects: [], more: false, revision: 1 });
+      countCall();
+      return isSilent ? neverAnswered() : okAsync({ objects: [], more: false, revision: 1 });
     },
     watch: () => {
-      count();
+      countCall();
       return okAsync({ kind: 'changes', changes: { changes: [], revision: 1 } });
     },
-    read: never,
-    write: never,
-    check: never,
+    read: neverAnswered,
+    write: neverAnswered,
+    check: neverAnswered,
     replaceConnections: () => undefined,
     era: () => 0,
     observeEra: () => undefined,
@@ -67,13 +67,13 @@
     watchMs: 8_000,
     coalesceMs: 0,
     proofDueInMs: () => 1_000,
-    retryAfterMs: () => world.askAgainMs,
+    retryAfterMs: () => world.retryAfterMs,
     onList: () => {
-      if (world.throwsLeft > 0) {
-        world.throwsLeft -= 1;
-        throw new Error('an object that no code expected');
+      if (world.remainingThrows > 0) {
+        world.remainingThrows -= 1;
+        throw new Error('unexpected object');
       }
-      world.taken += 1;
+      world.listsProcessed += 1;
     },
     onChanges: () => undefined,
     onProof: () => undefined,
@@ -84,34 +84,34 @@
 }
 
 Given('a follower of a store that answers at once', function (this: FollowingWorld) {
-  this.askAgainMs = 100;
-  follow(this, false);
+  this.retryAfterMs = 100;
+  startFollower(this, false);
 });
 
-Given('taking the first list throws', function (this: FollowingWorld) {
-  this.throwsLeft = 1;
+Given('processing the first list throws', function (this: FollowingWorld) {
+  this.remainingThrows = 1;
 });
 
-Then('it has taken a list within {int} ms', async function (this: FollowingWorld, ms: number) {
-  await waitFor('a list', () => this.taken > 0, ms);
+Then('it has processed a list within {int} ms', async function (this: FollowingWorld, ms: number) {
+  await waitFor('a list', () => this.listsProcessed > 0, ms);
 });
 
 Given(
-  'a follower of a store that is silent, which asks again every {int} ms',
+  'a follower of a silent store that retries every {int} ms',
   function (this: FollowingWorld, everyMs: number) {
-    this.askAgainMs = everyMs;
-    follow(this, true);
+    this.retryAfterMs = everyMs;
+    startFollower(this, true);
   },
 );
 
-When('it is to ask again every {int} ms', function (this: FollowingWorld, everyMs: number) {
-  this.askAgainMs = everyMs;
+When('its retry interval becomes {int} ms', function (this: FollowingWorld, everyMs: number) {
+  this.retryAfterMs = everyMs;
 });
 
 Then(
-  'the store is asked {int} times within {int} ms',
+  'the store is called {int} times within {int} ms',
   async function (this: FollowingWorld, times: number, ms: number) {
-    await waitFor('the questions', () => this.asked >= times, ms);
+    await waitFor('the questions', () => this.calls >= times, ms);
   },
 );
 
@@ -119,29 +119,29 @@
   await sleep(ms);
 });
 
-Then('the store was asked at most {int} times', function (this: FollowingWorld, most: number) {
-  assert.ok(this.asked <= most, `asked ${this.asked} times`);
+Then('the store was called at most {int} times', function (this: FollowingWorld, most: number) {
+  assert.ok(this.calls <= most, `asked ${this.calls} times`);
 });
 
 Given('a gateway that reaches the store', function (this: FollowingWorld) {
   this.section = createSection<StoreReachability>({ reachable: false, since: 0 });
   const logger = { log: () => undefined };
-  this.contact = createReachabilityTracker({ clock, logger }, this.section);
-  this.contact.record({ kind: 'read', sentAt: clock.now(), failure: undefined });
+  this.reachability = createReachabilityTracker({ clock, logger }, this.section);
+  this.reachability.record({ kind: 'read', sentAt: clock.now(), failure: undefined });
 });
 
-When('{int} of its writes are turned away', function (this: FollowingWorld, writes: number) {
+When('{int} of its writes are rejected', function (this: FollowingWorld, writes: number) {
   const failure = createFailure('platformUnavailable', { reason: 'status 429' });
   for (let index = 0; index < writes; index += 1) {
-    this.contact.record({ kind: 'write', sentAt: clock.now(), failure });
+    this.reachability.record({ kind: 'write', sentAt: clock.now(), failure });
   }
 });
 
 Then(
-  'it still reaches the store, and what vanishes counts as gone at once',
+  'it still reaches the store, and missing entries count as gone at once',
   function (this: FollowingWorld) {
     assert.ok(this.section.read().reachable);
     const now = clock.now();
-    assert.equal(this.contact.absenceEffectiveFrom(now), now);
+    assert.equal(this.reachability.absenceEffectiveFrom(now), now);
   },
 );
--- a/features/gateway/late-entries.steps.ts
+++ b/features/gateway/late-entries.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Entries of engines whose process has ended, as a gateway meets them.
+ * Entries of engines whose process has ended.
  */
 import assert from 'node:assert/strict';
 import { Given, Then } from '@cucumber/cucumber';
@@ -7,19 +7,21 @@
 import type { LogLine } from './site.js';
 import type { GatewayWorld } from './world.js';
 
-const FORMER = 'engine-former';
+const PREVIOUS_INCARNATION = 'engine-former';
 
 function listOrders({ gateway }: GatewayWorld): LogLine[] {
-  return gateway.lines.filter(({ name, server }) => name === 'orderSent' && server === FORMER);
+  return gateway.lines.filter(
+    ({ name, server }) => name === 'orderSent' && server === PREVIOUS_INCARNATION,
+  );
 }
 
 Given(
-  'the entry of a former life comes back at the address of an engine',
+  'an entry of a previous incarnation reappears at the address of an engine',
   function (this: GatewayWorld) {
     const [engine] = this.site.listOpen();
     assert.ok(engine);
     const entry = this.site.store.read('servers', engine.options.id) as Record<string, unknown>;
-    this.site.store.put('servers', FORMER, { ...entry, group: null });
+    this.site.store.put('servers', PREVIOUS_INCARNATION, { ...entry, group: null });
   },
 );
 
@@ -33,7 +35,7 @@
 );
 
 Then(
-  'at most {int} orders were sent to the former life',
+  'at most {int} orders were sent to the previous incarnation',
   function (this: GatewayWorld, most: number) {
     const sent = listOrders(this).map(
       ({ order, outcome }) => `${String(order)} ${String(outcome)}`,
--- a/features/gateway/site.ts
+++ b/features/gateway/site.ts
@@ -1,5 +1,5 @@
 /**
- * A small site for scenarios: the store, engines and services as stand-ins, gateways as processes.
+ * A small site for scenarios: stand-ins for the store, engines and services; gateways as processes.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { once } from 'node:events';
@@ -25,7 +25,7 @@
 
 const PROGRAM = 'target/yuccasail-gateway.mjs';
 const HOME_ZONE = 'north';
-const KEPT_LINES = 20_000;
+const MAX_LOG_LINES = 20_000;
 
 /** One line of a gateway's log. */
 export type LogLine = Readonly<Record<string, unknown>>;
@@ -40,7 +40,7 @@
   exited: Promise<number | null>;
 }
 
-/** Where a gateway listens and what it is told. */
+/** Addresses and settings of a gateway. */
 export interface GatewayPlan {
   name: string;
   failureDomain: string;
@@ -50,18 +50,18 @@
   metrics: string;
   store: string;
   seeds: string[];
-  /** Somebody reads what it logs. */
+  /** Whether the scenario reads its log. */
   readsLog: boolean;
-  /** From the signal to stop to the end; the default of the settings when absent. */
+  /** Grace period of a stop; the default of the settings when absent. */
   graceMs?: number;
 }
 
-/** What a caller got. */
+/** A response as received by a caller. */
 export interface Answer {
   status: number;
   headers: IncomingHttpHeaders;
   body: string;
-  /** The answer was whole. */
+  /** Whether the response was received completely. */
   whole: boolean;
 }
 
@@ -73,7 +73,7 @@
   agent?: Agent;
 }
 
-/** The settings file of a gateway. */
+/** Formats the settings file of a gateway. */
 export function writeSettings(plan: Omit<GatewayPlan, 'readsLog'>): string {
   const { name, failureDomain, callers, readiness, peers, metrics, store, seeds, graceMs } = plan;
   return [
@@ -93,7 +93,7 @@
   ].join('\n');
 }
 
-/** Everything of one scenario; `close` ends just what it started. */
+/** The processes and stand-ins of one scenario; `close` stops only what it has started. */
 export class Site {
   readonly store = new StoreStandIn();
   readonly journal: Arrival[] = [];
@@ -101,8 +101,8 @@
   readonly gateways: GatewayProcess[] = [];
   private readonly children: ChildProcess[] = [];
   private folder = '';
-  private asked = 0;
-  private planned = 0;
+  private requestCount = 0;
+  private plannedCount = 0;
 
   async open(): Promise<void> {
     await this.store.listen();
@@ -127,14 +127,14 @@
     return server;
   }
 
-  /** Starts a gateway at addresses of its own and resolves when it listens. */
+  /** Starts a gateway at new addresses and resolves when it listens. */
   startGateway(): Promise<GatewayProcess> {
     return this.launch(this.planGateway());
   }
 
-  /** Addresses for one more gateway, to be started any number of times. */
+  /** Reserves addresses for one more gateway, which may be started repeatedly. */
   planGateway(store = this.store.address): GatewayPlan {
-    this.planned += 1;
+    this.plannedCount += 1;
     const [callers, readiness, peers, metrics] = [
       nextAddress(),
       nextAddress(),
@@ -142,7 +142,7 @@
       nextAddress(),
     ];
     return {
-      name: `gateway-${this.planned - 1}`,
+      name: `gateway-${this.plannedCount - 1}`,
       failureDomain: HOME_ZONE,
       callers,
       readiness,
@@ -166,7 +166,7 @@
     if (plan.readsLog) {
       createInterface({ input: child.stdout }).on('line', (line) => {
         lines.push({ ...(JSON.parse(line) as LogLine), heardAt: performance.now() });
-        if (lines.length > KEPT_LINES) lines.splice(0, lines.length - KEPT_LINES);
+        if (lines.length > MAX_LOG_LINES) lines.splice(0, lines.length - MAX_LOG_LINES);
       });
     }
     const gateway: GatewayProcess = {
@@ -193,15 +193,15 @@
     });
   }
 
-  /** The id that the next request will carry, unless its headers say another. */
+  /** The id of the next request, unless its headers set another. */
   nextId(): string {
-    return `request-${this.asked + 1}`;
+    return `request-${this.requestCount + 1}`;
   }
 
   async ask(gateway: GatewayProcess, ask: Ask, address = gateway.callers): Promise<Answer> {
-    this.asked += 1;
+    this.requestCount += 1;
     const [host = '', port = ''] = address.split(':');
-    const headers = { ...exampleHeaders(`request-${this.asked}`), ...ask.headers };
+    const headers = { ...exampleHeaders(`request-${this.requestCount}`), ...ask.headers };
     const outgoing = httpRequest({
       host,
       port,
@@ -216,7 +216,7 @@
     try {
       for await (const chunk of incoming) body += String(chunk);
     } catch {
-      // A broken answer shows as not complete below.
+      // An interrupted response is reported by `complete` below.
     }
     return {
       status: incoming.statusCode ?? 0,
@@ -226,14 +226,14 @@
     };
   }
 
-  /** Servers that ran the request `id`. */
+  /** The servers that ran the request `id`. */
   ranAt(id: string): string[] {
     return this.journal
       .filter((arrival) => arrival.id === id && arrival.ran)
       .map(({ server }) => server);
   }
 
-  /** Resolves when as many groups are open. */
+  /** Resolves when exactly `groups` groups are open. */
   async whenOpen(groups: number): Promise<void> {
     await waitFor(`${groups} open groups`, () => this.listOpen().length === groups);
   }
--- a/features/gateway/start-in-outage.steps.ts
+++ b/features/gateway/start-in-outage.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Gateways that start while nobody hears the store.
+ * Gateways that start while the store is unavailable.
  */
 import assert from 'node:assert/strict';
 import { request, type ClientRequest } from 'node:http';
@@ -14,19 +14,19 @@
 interface StartWorld extends GatewayWorld {
   plan: GatewayPlan;
   started: GatewayProcess;
-  /** The way on which the other gateway can first hear of the one that stops. */
+  /** Proxy through which the new gateway discovers the one that stops. */
   seedLink: Proxy;
-  /** Keeps the gateway that stops from ending. */
+  /** A request that keeps the stopping gateway alive. */
   unfinished: ClientRequest;
   gateways: GatewayProcess[];
-  lateAfterMs: number | undefined;
+  fetchedAfterMs: number | undefined;
 }
 
 const LIST = { path: '/list/slots' };
 const LONGEST_LAG_MS = 10_000;
-/** Longer than any wait of a step. */
+/** Longer than any step waits. */
 const LONGEST_REQUEST_MS = 60_000;
-/** A stop finishes what is due within it. */
+/** Lets a stopping gateway finish the open request. */
 const LONG_GRACE_MS = 120_000;
 
 After(async function (this: Partial<StartWorld>) {
@@ -39,7 +39,7 @@
   await this.site.open();
   this.site.configure({ route: { timeout_ms: LONGEST_REQUEST_MS } });
   await this.site.addServer({ id: 'plain-0', service: 'app' });
-  // Of two servers the one that answers nobody may come under suspicion.
+  // The server that holds the unfinished request may be suspected; this one serves the others.
   await this.site.addServer({ id: 'plain-1', service: 'app' });
   const first = { ...this.site.planGateway(), graceMs: LONG_GRACE_MS };
   const link = await createProxy({ listen: '127.0.0.1:0', target: first.peers });
@@ -49,9 +49,9 @@
   await this.site.whenReady(this.gateway);
 });
 
-Given('the store is away', async function (this: StartWorld) {
+Given('the store is unavailable', async function (this: StartWorld) {
   this.site.store.fault = 'down';
-  // Ends the watches that wait, so that the gateway meets the fault now.
+  // Ends waiting watches, so that the gateway notices the fault at once.
   this.site.store.compact();
   await waitFor('the gateway to notice', () =>
     this.gateway.lines.some(({ name }) => name === 'storeLost'),
@@ -59,9 +59,9 @@
 });
 
 When('the first is told to stop and the other one starts', async function (this: StartWorld) {
-  this.unfinished = await holdUp(this);
-  // How long a process takes to start says nothing of the gateway: it hears of the first only when
-  // that one is stopping, and the first ends only with the request that nobody answers.
+  this.unfinished = await holdRequestOpen(this);
+  // Independent of process start time: the new gateway discovers the first one only once it is
+  // stopping, and the first one ends only with its unfinished request.
   (await this.seedLink.control({ refuse: true }))._unsafeUnwrap();
   this.started = await this.site.launch(this.plan);
   const before = await waitFor('the other one to listen', () =>
@@ -75,16 +75,16 @@
   (await this.seedLink.control({ refuse: false }))._unsafeUnwrap();
 });
 
-/** A request that its gateway must not cut short, at a server that never answers it. */
-async function holdUp({ site, gateway }: StartWorld): Promise<ClientRequest> {
+/** Sends a request to a server that never answers, which the gateway must not cut short. */
+async function holdRequestOpen({ site, gateway }: StartWorld): Promise<ClientRequest> {
   for (const server of site.servers) server.fault = { kind: 'stall' };
   const headers = exampleHeaders('unfinished', LONGEST_REQUEST_MS);
-  const begun = request(`http://${gateway.callers}/check/slots`, { method: 'POST', headers });
-  begun.on('error', () => undefined);
-  begun.end();
+  const outgoing = request(`http://${gateway.callers}/check/slots`, { method: 'POST', headers });
+  outgoing.on('error', () => undefined);
+  outgoing.end();
   await waitFor('it to be sent', () => gateway.lines.some(({ name }) => name === 'requestSent'));
   for (const server of site.servers) server.fault = { kind: 'none' };
-  return begun;
+  return outgoing;
 }
 
 Then('the other one serves callers before the first has ended', async function (this: StartWorld) {
@@ -105,15 +105,15 @@
     const lag = new LagTracker(0);
     const own = { configurationVersion: 0, fleetRevision: 0 };
     const known = { configurationVersion: 2, fleetRevision: 5 };
-    this.lateAfterMs = undefined;
-    for (let now = 0; this.lateAfterMs === undefined && now < LONGEST_LAG_MS; now += everyMs) {
-      if (lag.isLate(own, known, now)) this.lateAfterMs = now;
+    this.fetchedAfterMs = undefined;
+    for (let now = 0; this.fetchedAfterMs === undefined && now < LONGEST_LAG_MS; now += everyMs) {
+      if (lag.isLate(own, known, now)) this.fetchedAfterMs = now;
     }
   },
 );
 
 Given(
-  'the store is away before two gateways start that know of nobody',
+  'the store is unavailable before two gateways without peers start',
   async function (this: StartWorld) {
     this.site = new Site();
     await this.site.open();
--- a/features/gateway/starting.steps.ts
+++ b/features/gateway/starting.steps.ts
@@ -9,8 +9,8 @@
 import * as z from 'zod';
 
 interface StartingWorld {
-  /** Where the gateway was built; the build of the other scenarios stays as it is. */
-  builtIn?: string;
+  /** Separate build output, so that other scenarios keep theirs. */
+  buildFolder?: string;
   runOptions: string[];
 }
 
@@ -19,7 +19,7 @@
   build: z.string(),
   roles: z.object({ gateway: z.object({ run: z.string() }) }),
 });
-/** Everything that a build reads. */
+/** Inputs of the build. */
 const SOURCES = ['node_modules', 'package.json', 'tsconfig.json', 'platform', 'scripts', 'src'];
 const CHECK = `
 const { compileGateway } = await import('./scripts/gateway-loader.mjs');
@@ -29,13 +29,16 @@
 console.log(compileGateway(readFileSync(file, 'utf8'), file, code).script.cachedDataRejected);
 `;
 
-function optionsOf(command: string, program: string): string[] {
+function nodeOptionsOf(command: string, program: string): string[] {
   const words = command.split(' ');
   const end = words.indexOf(program);
   return words.slice(words.lastIndexOf('node', end) + 1, end);
 }
 
-async function isRefused({ builtIn }: StartingWorld, options: string[]): Promise<boolean> {
+async function isRefused(
+  { buildFolder: builtIn }: StartingWorld,
+  options: string[],
+): Promise<boolean> {
   const args = [...options, '--input-type=module', '--eval', CHECK];
   const { stdout } = await run(process.execPath, args, { cwd: builtIn });
   return stdout.trim() === 'true';
@@ -43,12 +46,12 @@
 
 When('the gateway is built as the deploy file says', async function (this: StartingWorld) {
   const deploy = deploySchema.parse(parse(await readFile('deploy/system.toml', 'utf8')));
-  this.runOptions = optionsOf(deploy.roles.gateway.run, 'target/yuccasail-gateway.mjs');
-  const buildOptions = optionsOf(deploy.build, 'scripts/build-gateway.mjs');
-  this.builtIn = await mkdtemp(join(tmpdir(), 'yuccasail-build-'));
-  for (const name of SOURCES) await symlink(resolve(name), join(this.builtIn, name));
+  this.runOptions = nodeOptionsOf(deploy.roles.gateway.run, 'target/yuccasail-gateway.mjs');
+  const buildOptions = nodeOptionsOf(deploy.build, 'scripts/build-gateway.mjs');
+  this.buildFolder = await mkdtemp(join(tmpdir(), 'yuccasail-build-'));
+  for (const name of SOURCES) await symlink(resolve(name), join(this.buildFolder, name));
   await run(process.execPath, [...buildOptions, 'scripts/build-gateway.mjs'], {
-    cwd: this.builtIn,
+    cwd: this.buildFolder,
   });
 });
 
@@ -64,5 +67,5 @@
 });
 
 After(async function (this: StartingWorld) {
-  if (this.builtIn !== undefined) await rm(this.builtIn, { recursive: true, force: true });
+  if (this.buildFolder !== undefined) await rm(this.buildFolder, { recursive: true, force: true });
 });
--- a/features/gateway/store-copy.feature
+++ b/features/gateway/store-copy.feature
@@ -1,48 +1,46 @@
 Feature: The store comes back from an older copy
 
-  # In a drill the store is away for a moment and comes back from a copy some seconds old. What was written
-  # since is gone, and the same revisions are given out again. Gateways that took a lower revision for old
-  # news were deaf until the counter had passed its former value.
+  # A restored store assigns the same revisions again. Gateways must not discard new changes as old
+  # because of their lower revisions.
   Scenario: A server is added after the return
     Given a site with 2 plain server and 3 ready gateways
     And the store keeps a copy, and the servers write 60 times after that
-    When the store is away for 500 ms and comes back from the copy
+    When the store is unavailable for 500 ms and is restored from the copy
     And a server is added
     Then every gateway sends to it within 2000 ms
 
-  # Its word to leave was acknowledged, and is lost with the rest until it is written again.
+  # The restore loses the acknowledged change of its state until the server writes it again.
   Scenario Outline: A server that <left> is not sent to again
     Given a site with 2 plain server and 3 ready gateways
     And the store keeps a copy, and the first server <leaves>
-    When the store is away for 500 ms and comes back from the copy
+    When the store is unavailable for 500 ms and is restored from the copy
     Then for 2000 ms nothing is sent to the first server
     When the first server <comes back>
     Then every gateway sends to it within 2000 ms
 
     Examples:
-      | left        | leaves              | comes back    |
-      | was leaving | says that it leaves | starts again  |
-      | was gone    | goes                | writes again  |
+      | left        | leaves                      | comes back    |
+      | was leaving | announces that it is leaving | starts again  |
+      | was gone    | goes                        | writes again  |
 
   Scenario: A key that was taken away stays away
     Given a site with 2 plain server and 3 ready gateways
-    And the store keeps a copy, and the operator takes the key away
-    When the store is away for 500 ms and comes back from the copy
+    And the store keeps a copy, and the operator revokes the key
+    When the store is unavailable for 500 ms and is restored from the copy
     Then for 2000 ms every gateway refuses with 401
     When the operator writes a later version that has the key
     Then every gateway answers with 200 within 1000 ms
 
-  # The replicas that were formed in the lost seconds are in no plan of the copy; a planner that goes by it
-  # takes their engines for free and undoes what serves.
+  # The restored plans lack the latest replicas. A planner must not treat their engines as free.
   Scenario: Replicas that were formed in the lost seconds go on
     Given a site with 8 engines and 2 ready gateways, with a copy of the store from before the first replica
-    When the store is away for 500 ms and comes back from the copy
+    When the store is unavailable for 500 ms and is restored from the copy
     Then for 5000 ms the same 4 groups are open
     And the store has them in its plans again
 
   Scenario: Gateways are known to the store again
     Given a site with 1 plain server and 3 ready gateways, with a copy of the store from before the first
-    When the store is away for 500 ms and comes back from the copy
+    When the store is unavailable for 500 ms and is restored from the copy
     Then the store names the 3 gateways within 6000 ms
 
   Scenario: A revision is given out again for another state of an object
--- a/features/gateway/store-copy.steps.ts
+++ b/features/gateway/store-copy.steps.ts
@@ -1,5 +1,5 @@
 /**
- * The store comes back from a copy that is some seconds old.
+ * The store is restored from a copy that is some seconds old.
  */
 import assert from 'node:assert/strict';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -14,16 +14,16 @@
 import { openSite, type GatewayWorld } from './world.js';
 
 interface CopyWorld extends GatewayWorld {
-  added: EngineStandIn;
-  /** Doesn't write its entry again before it is told to. */
-  unheard?: EngineStandIn;
+  expectedServer: EngineStandIn;
+  /** Doesn't rewrite its entry after the restore until a step makes it do so. */
+  silentServer?: EngineStandIn;
   store: StoreStandIn;
   client: ObjectStore;
   readRevision: number;
 }
 
 const LIST = { path: '/list/slots' };
-const ASK_EVERY_MS = 30;
+const REQUEST_INTERVAL_MS = 30;
 const DOMAIN_SIZE = 4;
 const PLAN_KIND = 'group-plans';
 const GATEWAY_KIND = 'gateways';
@@ -41,21 +41,21 @@
   return first;
 }
 
-function askAll({ site }: GatewayWorld): Promise<Answer[]> {
+function requestAll({ site }: GatewayWorld): Promise<Answer[]> {
   return Promise.all(site.gateways.map((gateway) => site.ask(gateway, LIST)));
 }
 
-function reached({ site }: GatewayWorld, server: EngineStandIn): number {
+function countRequests({ site }: GatewayWorld, server: EngineStandIn): number {
   return site.journal.filter((arrival) => arrival.server === server.options.id).length;
 }
 
-async function whenLogged(world: GatewayWorld, event: string): Promise<void> {
+async function waitForEvent(world: GatewayWorld, event: string): Promise<void> {
   await waitFor(event, () =>
     world.site.gateways.every(({ lines }) => lines.some(({ name }) => name === event)),
   );
 }
 
-async function reaches(
+async function isSentTo(
   { site }: GatewayWorld,
   gateway: GatewayProcess,
   server: EngineStandIn,
@@ -78,32 +78,29 @@
 );
 
 Given(
-  'the store keeps a copy, and the first server says that it leaves',
+  'the store keeps a copy, and the first server announces that it is leaving',
   async function (this: CopyWorld) {
     this.site.store.keepCopy();
-    this.unheard = firstServer(this);
-    this.unheard.drain();
-    await whenLogged(this, 'serverChanged');
+    this.silentServer = firstServer(this);
+    this.silentServer.drain();
+    await waitForEvent(this, 'serverChanged');
   },
 );
 
 Given('the store keeps a copy, and the first server goes', async function (this: CopyWorld) {
   this.site.store.keepCopy();
-  this.unheard = firstServer(this);
-  this.site.store.remove('servers', this.unheard.options.id);
-  await whenLogged(this, 'serverGone');
+  this.silentServer = firstServer(this);
+  this.site.store.remove('servers', this.silentServer.options.id);
+  await waitForEvent(this, 'serverGone');
 });
 
-Given(
-  'the store keeps a copy, and the operator takes the key away',
-  async function (this: CopyWorld) {
-    this.site.store.keepCopy();
-    this.site.configure({ version: 9, keys: ['another-key'] });
-    await waitFor('the key to be gone', async () =>
-      (await askAll(this)).every(({ status }) => status === 401),
-    );
-  },
-);
+Given('the store keeps a copy, and the operator revokes the key', async function (this: CopyWorld) {
+  this.site.store.keepCopy();
+  this.site.configure({ version: 9, keys: ['another-key'] });
+  await waitFor('the key to be gone', async () =>
+    (await requestAll(this)).every(({ status }) => status === 401),
+  );
+});
 
 Given(
   'a site with {int} engines and {int} ready gateways, with a copy of the store from before the first replica',
@@ -135,37 +132,37 @@
 );
 
 When(
-  'the store is away for {int} ms and comes back from the copy',
+  'the store is unavailable for {int} ms and is restored from the copy',
   async function (this: CopyWorld, ms: number) {
     const { store } = this.site;
     store.fault = 'down';
     await sleep(ms);
     store.returnFromCopy();
     store.fault = 'none';
-    void writeAgain(this);
+    void rewriteEntries(this);
   },
 );
 
-/** All servers but the one that is to stay unheard write their entries, one after the other. */
-async function writeAgain({ site, unheard }: CopyWorld): Promise<void> {
+/** Makes all servers except the silent one rewrite their entries, one after the other. */
+async function rewriteEntries({ site, silentServer }: CopyWorld): Promise<void> {
   for (const server of site.servers) {
     await sleep(REWRITE_WITHIN_MS / site.servers.length);
-    if (server !== unheard) server.report();
+    if (server !== silentServer) server.report();
   }
 }
 
 When('a server is added', async function (this: CopyWorld) {
-  this.added = await this.site.addServer({ id: 'plain-new', service: 'app', gapMs: 5 });
+  this.expectedServer = await this.site.addServer({ id: 'plain-new', service: 'app', gapMs: 5 });
 });
 
 When('the first server starts again', async function (this: CopyWorld) {
-  this.added = firstServer(this);
-  await this.added.restart();
+  this.expectedServer = firstServer(this);
+  await this.expectedServer.restart();
 });
 
 When('the first server writes again', function (this: CopyWorld) {
-  this.added = firstServer(this);
-  this.added.report();
+  this.expectedServer = firstServer(this);
+  this.expectedServer.report();
 });
 
 When('the operator writes a later version that has the key', function (this: CopyWorld) {
@@ -174,32 +171,32 @@
 
 Then('every gateway sends to it within {int} ms', async function (this: CopyWorld, ms: number) {
   for (const gateway of this.site.gateways) {
-    await waitFor('a request there', () => reaches(this, gateway, this.added), ms);
+    await waitFor('a request there', () => isSentTo(this, gateway, this.expectedServer), ms);
   }
 });
 
 Then(
   'for {int} ms nothing is sent to the first server',
   async function (this: CopyWorld, ms: number) {
-    const before = reached(this, firstServer(this));
+    const before = countRequests(this, firstServer(this));
     const endAt = performance.now() + ms;
     while (performance.now() < endAt) {
-      await askAll(this);
-      await sleep(ASK_EVERY_MS);
+      await requestAll(this);
+      await sleep(REQUEST_INTERVAL_MS);
     }
-    assert.equal(reached(this, firstServer(this)) - before, 0);
+    assert.equal(countRequests(this, firstServer(this)) - before, 0);
   },
 );
 
 Then('for {int} ms every gateway refuses with 401', async function (this: CopyWorld, ms: number) {
   const endAt = performance.now() + ms;
   while (performance.now() < endAt) {
-    const answers = await askAll(this);
+    const answers = await requestAll(this);
     assert.deepEqual(
       answers.map(({ status }) => status),
       answers.map(() => 401),
     );
-    await sleep(ASK_EVERY_MS);
+    await sleep(REQUEST_INTERVAL_MS);
   }
 });
 
@@ -208,7 +205,7 @@
   async function (this: CopyWorld, ms: number) {
     await waitFor(
       'the key to be back',
-      async () => (await askAll(this)).every(({ status }) => status === 200),
+      async () => (await requestAll(this)).every(({ status }) => status === 200),
       ms,
     );
   },
@@ -221,7 +218,7 @@
     const endAt = performance.now() + ms;
     while (performance.now() < endAt) {
       assert.deepEqual(listGroups(this), this.groupsBefore);
-      await sleep(ASK_EVERY_MS);
+      await sleep(REQUEST_INTERVAL_MS);
     }
   },
 );
--- a/features/gateway/store-feed.steps.ts
+++ b/features/gateway/store-feed.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Faults of the store around a change of the configuration, and when the change is in force.
+ * Faults of the store around a configuration change, and how soon the change is active.
  */
 import assert from 'node:assert/strict';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -12,10 +12,9 @@
 
 const LIST = { path: '/list/slots' };
 const FAILURE_DOMAINS = ['north', 'south'];
-/** Two hundred times the usual 4 ms. */
-const LATE_MS = 800;
+const SLOW_ANSWER_DELAY_MS = 800;
 
-/** Gateways, each behind a proxy of its own to the store. */
+/** Gateways that each reach the store through their own proxy. */
 interface FeedWorld extends GatewayWorld {
   plans: GatewayPlan[];
   links: Proxy[];
@@ -31,7 +30,7 @@
     await openSite(this, servers);
     this.site.configure();
     const started = Array.from({ length: gateways }, () => this.site.startGateway());
-    await whenTogether(this, await Promise.all(started));
+    await waitUntilConnected(this, await Promise.all(started));
   },
 );
 
@@ -49,11 +48,14 @@
       const plan = this.site.planGateway(this.links.at(-1)?.address);
       this.plans.push({ ...plan, failureDomain });
     }
-    await whenTogether(this, await Promise.all(this.plans.map((plan) => this.site.launch(plan))));
+    await waitUntilConnected(
+      this,
+      await Promise.all(this.plans.map((plan) => this.site.launch(plan))),
+    );
   },
 );
 
-async function whenTogether(world: GatewayWorld, gateways: GatewayProcess[]): Promise<void> {
+async function waitUntilConnected(world: GatewayWorld, gateways: GatewayProcess[]): Promise<void> {
   for (const gateway of gateways) await world.site.whenReady(gateway);
   await waitFor('the gateways to know each other', () =>
     gateways.every(({ lines }) => countLines(lines, 'peerHeard') >= gateways.length - 1),
@@ -68,7 +70,7 @@
   await failStore(this, 'silent', ms);
 });
 
-When('the store turns everybody away for {int} ms', async function (this: FeedWorld, ms: number) {
+When('the store rejects all calls for {int} ms', async function (this: FeedWorld, ms: number) {
   await failStore(this, 'down', ms);
 });
 
@@ -90,26 +92,31 @@
 );
 
 When(
-  'the store turns half of them away for {int} ms',
+  'the store rejects calls from half of them for {int} ms',
   async function (this: FeedWorld, ms: number) {
     await failLinks(halfOf(this.links), { refuse: true, resetAll: true }, { refuse: false }, ms);
   },
 );
 
-When('the store can not be heard for {int} ms', async function (this: FeedWorld, ms: number) {
+When('the store can not send for {int} ms', async function (this: FeedWorld, ms: number) {
   await failLinks(this.links, { cut: 'toSource' }, { cut: 'none' }, ms);
 });
 
-When('the store does not hear for {int} ms', async function (this: FeedWorld, ms: number) {
+When('the store can not receive for {int} ms', async function (this: FeedWorld, ms: number) {
   await failLinks(this.links, { cut: 'toTarget' }, { cut: 'none' }, ms);
 });
 
 When('the store answers 800 ms late for {int} ms', async function (this: FeedWorld, ms: number) {
-  await failLinks(this.links, { toSource: { delayMs: LATE_MS } }, { toSource: { delayMs: 0 } }, ms);
+  await failLinks(
+    this.links,
+    { toSource: { delayMs: SLOW_ANSWER_DELAY_MS } },
+    { toSource: { delayMs: 0 } },
+    ms,
+  );
 });
 
 When(
-  'the store is silent, and half of them start anew for {int} ms',
+  'the store is silent, and half of them restart for {int} ms',
   async function (this: FeedWorld, ms: number) {
     const { site } = this;
     site.store.fault = 'silent';
@@ -151,7 +158,7 @@
   this.site.store.fault = 'silentWatches';
 });
 
-When(/^the operator takes the key away(?: as the store returns)?$/, function (this: GatewayWorld) {
+When(/^the operator revokes the key(?: as the store returns)?$/, function (this: GatewayWorld) {
   this.site.configure({ version: 9, keys: ['another-key'] });
   this.acknowledgedAt = performance.now();
 });
@@ -159,39 +166,39 @@
 Then(
   'every gateway refuses with 401 within {int} ms of the acknowledgement',
   async function (this: GatewayWorld, ms: number) {
-    const refusals = await Promise.all(
-      this.site.gateways.map((gateway) => whenRefused(this, gateway)),
+    const rejections = await Promise.all(
+      this.site.gateways.map((gateway) => waitForRejection(this, gateway)),
     );
-    const worst = Math.max(...refusals.map(({ afterMs }) => afterMs));
-    const told = `in force everywhere after ${worst} ms: ${JSON.stringify(refusals)}`;
-    this.log(told);
-    assert.ok(worst <= ms, told);
+    const worst = Math.max(...rejections.map(({ afterMs }) => afterMs));
+    const report = `in force everywhere after ${worst} ms: ${JSON.stringify(rejections)}`;
+    this.log(report);
+    assert.ok(worst <= ms, report);
   },
 );
 
-/** When a gateway refused, and what tells a late gateway from a question that took long. */
-interface Refusal {
+/** When a gateway rejected the key; distinguishes a late gateway from a slow request. */
+interface RejectionTiming {
   afterMs: number;
-  /** By its own line, as it was read here. */
-  takenAfterMs: number;
-  longestAskMs: number;
+  /** When its log line on the new configuration was read. */
+  loggedAfterMs: number;
+  longestRequestMs: number;
 }
 
-async function whenRefused(
+async function waitForRejection(
   { site, acknowledgedAt }: GatewayWorld,
   gateway: GatewayProcess,
-): Promise<Refusal> {
-  let longestAskMs = 0;
-  await waitFor('the refusal', async () => {
-    const askedAt = performance.now();
+): Promise<RejectionTiming> {
+  let longestRequestMs = 0;
+  await waitFor('the rejection', async () => {
+    const sentAt = performance.now();
     const { status } = await site.ask(gateway, LIST);
-    longestAskMs = Math.max(longestAskMs, Math.round(performance.now() - askedAt));
+    longestRequestMs = Math.max(longestRequestMs, Math.round(performance.now() - sentAt));
     return status === 401;
   });
   const afterMs = Math.round(performance.now() - acknowledgedAt);
-  const taken = gateway.lines.findLast(({ name }) => name === 'servingConfigurationTaken');
-  const takenAfterMs = Math.round(Number(taken?.heardAt) - acknowledgedAt);
-  return { afterMs, takenAfterMs, longestAskMs };
+  const activation = gateway.lines.findLast(({ name }) => name === 'servingConfigurationTaken');
+  const loggedAfterMs = Math.round(Number(activation?.heardAt) - acknowledgedAt);
+  return { afterMs, loggedAfterMs, longestRequestMs };
 }
 
 Then(
--- a/features/gateway/world.ts
+++ b/features/gateway/world.ts
@@ -1,5 +1,5 @@
 /**
- * What the steps of a gateway scenario share.
+ * State shared by the steps of a gateway scenario.
  */
 import { After, setDefaultTimeout } from '@cucumber/cucumber';
 import type { ClientRequest, IncomingMessage } from 'node:http';
@@ -37,7 +37,7 @@
   await this.site?.close();
 });
 
-/** Opens a site with plain servers, of which each takes `gapMs` for an answer. */
+/** Opens a site with plain servers that each answer after `gapMs`. */
 export async function openSite(
   world: GatewayWorld,
   plainServers: number,
@@ -51,9 +51,9 @@
   }
 }
 
-/** The only answer of the last question. */
+/** The last answer received. */
 export function lastAnswer(world: GatewayWorld): Answer {
   const answer = world.answers.at(-1);
-  if (!answer) throw new Error('nobody has asked yet');
+  if (!answer) throw new Error('no request has been answered yet');
   return answer;
 }
