--- a/features/gateway/configuration-pace.feature
+++ b/features/gateway/configuration-pace.feature
@@ -1,4 +1,4 @@
-Feature: Versions of the configuration that follow each other faster than they must be in force
+Feature: Configuration versions in quick succession
 
   # Reading every version of a quick series would multiply the calls to the store by the gateways.
   Scenario: A gateway that another one tells of versions reads some of them, and the last
--- a/features/gateway/decoders.feature
+++ b/features/gateway/decoders.feature
@@ -1,4 +1,4 @@
-Feature: No bytes from outside break a gateway, and none change more than their own name
+Feature: Invalid input doesn't break a gateway or affect other objects
 
   Scenario: Bodies of any form are read
     # A decoder that throws on invalid input would end the process or the loop that follows the store.
--- a/features/gateway/entries.feature
+++ b/features/gateway/entries.feature
@@ -1,4 +1,4 @@
-Feature: What another writer leaves in the store changes no more than its own name
+Feature: Invalid objects in the store affect only themselves
 
   Scenario: Objects that can not be read stand among the backend servers
     # One unreadable object must not make the gateway reject the whole list.
--- a/features/gateway/following.feature
+++ b/features/gateway/following.feature
@@ -1,4 +1,4 @@
-Feature: Following the store goes on whatever happens on the way
+Feature: The follower of the store survives failures
 
   Scenario: Taking what the store brought throws once
     # An exception while a list is processed must not end the loop that follows the store.
--- a/features/gateway/start-in-outage.feature
+++ b/features/gateway/start-in-outage.feature
@@ -1,4 +1,4 @@
-Feature: A gateway that starts while the store is away learns from those that run
+Feature: A gateway that starts during an outage of the store learns from its peers
 
   Scenario: All gateways that know the configuration are stopping
     # During a rolling restart a stopping gateway must still serve its configuration to new ones;
--- a/features/gateway/store-copy.feature
+++ b/features/gateway/store-copy.feature
@@ -1,4 +1,4 @@
-Feature: The store comes back from an older copy
+Feature: The store is restored from an older copy
 
   # A restored store assigns the same revisions again. Gateways must not discard new changes as old
   # because of their lower revisions.
--- a/features/gateway/store-feed.feature
+++ b/features/gateway/store-feed.feature
@@ -1,4 +1,4 @@
-Feature: What gateways know of the store has a proven age
+Feature: Gateways apply changes of the store in time, despite faults of the store
 
   Scenario: The store is silent for a while, and a change is acknowledged at its return
     # Calls received while the store is unresponsive are never answered; a watch that hangs on one of
--- a/features/gateway/beliefs.feature
+++ b/features/gateway/store-updates.feature
@@ -1,4 +1,4 @@
-Feature: What a gateway believes follows the store and never goes back
+Feature: A gateway follows the store and never returns to an older state
 
   Scenario: A newer configuration is in force within the operator's bound
     Given a site with 1 plain server and a ready gateway
--- a/src/gateway/create-gateway.ts
+++ b/src/gateway/create-gateway.ts
@@ -20,7 +20,7 @@
 import { createConnectionPool } from './backends/pool.js';
 import { createEngineCalls } from './backends/short-call.js';
 import { createGroupsPart } from './groups/groups-part.js';
-import { observeBeliefs } from './operations/beliefs.js';
+import { registerFreshnessGauges } from './operations/freshness-metrics.js';
 import { createOperationsListener } from './operations/listener.js';
 import { createGatewayMetrics } from './operations/metrics.js';
 import { createPeersPart } from './peers/peers-part.js';
@@ -76,7 +76,7 @@
   const board = createBoard();
   const context = createContext(settings, platform, board);
   const { logger, metrics, clock } = context;
-  observeBeliefs(context);
+  registerFreshnessGauges(context);
   const reachability = createReachabilityTracker(context, board.storeContact);
   const store = createObjectStore({
     address: settings.store.address,
--- a/src/gateway/operations/beliefs.ts
+++ b/src/gateway/operations/freshness-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * What the gateway believes, and how old the proof of it is, for operators.
+ * Gauges for the active configuration version and the freshness of configuration and fleet.
  */
 import { Gauge } from 'prom-client';
 import { ageOf, type Proof } from '../../controllers/freshness/index.js';
@@ -8,8 +8,8 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Adds gauges that are worked out when they are asked for. */
-export function observeBeliefs({ board, clock, metrics }: GatewayContext): void {
+/** Registers gauges whose values are computed when they are collected. */
+export function registerFreshnessGauges({ board, clock, metrics }: GatewayContext): void {
   const registers = [metrics.registry];
   new Gauge({
     name: 'yuccasail_gateway_configuration_version',
@@ -19,7 +19,7 @@
       this.set(board.serving.read()?.configuration.version ?? 0);
     },
   });
-  const sections: Readonly<Record<string, Section<Proof | undefined>>> = {
+  const proofSections: Readonly<Record<string, Section<Proof | undefined>>> = {
     configuration: board.configurationProof,
     servers: board.fleetProof,
   };
@@ -30,7 +30,7 @@
     registers,
     collect() {
       this.reset();
-      for (const [subject, section] of Object.entries(sections)) {
+      for (const [subject, section] of Object.entries(proofSections)) {
         const proof = section.read();
         const ageMs = ageOf(proof, clock.now());
         if (proof === undefined || ageMs === undefined) continue;
--- a/src/gateway/operations/listener.ts
+++ b/src/gateway/operations/listener.ts
@@ -1,24 +1,24 @@
 /**
- * Readiness for the balancer, and metrics for operators.
+ * HTTP listener for the balancer's readiness checks and for metrics.
  */
 import { serve } from '@hono/node-server';
 import { Hono } from 'hono';
 import { parseAddress } from '../../core/listening/index.js';
 import type { GatewayContext, GatewayPart } from '../types.js';
 
-/** Why this gateway takes no callers; undefined when it does. */
+/** Returns why the gateway is not ready for callers, or undefined when it is. */
 export type ReadinessCheck = () => string | undefined;
 
 export function createOperationsListener(
   context: GatewayContext,
-  check: ReadinessCheck,
+  checkReadiness: ReadinessCheck,
 ): GatewayPart {
   const { settings, metrics, logger } = context;
-  let last: string | undefined = 'it has just started';
-  const readiness = (): string | undefined => {
-    const reason = check();
-    if (reason !== last) {
-      last = reason;
+  let lastReason: string | undefined = 'it has just started';
+  const updateReadiness = (): string | undefined => {
+    const reason = checkReadiness();
+    if (reason !== lastReason) {
+      lastReason = reason;
       metrics.readiness.set(reason === undefined ? 1 : 0);
       if (reason === undefined) logger.log('gatewayReady');
       else logger.log('gatewayNotReady', { reason });
@@ -27,7 +27,7 @@
   };
   const app = new Hono();
   app.get('/readyz', (c) => {
-    const reason = readiness();
+    const reason = updateReadiness();
     return reason === undefined ? c.text('ready') : c.text(reason, 503);
   });
   app.get('/metrics', async (c) => c.text(await metrics.render()));
--- a/src/gateway/operations/metrics.ts
+++ b/src/gateway/operations/metrics.ts
@@ -1,10 +1,10 @@
 /**
- * What a gateway counts and times.
+ * Prometheus metrics of a gateway.
  */
 import { Counter, Gauge, type Registry } from 'prom-client';
 import { createMetrics, type Metrics } from '../../core/metrics/index.js';
 
-/** Metrics of the request path and of the calls that cost something elsewhere. */
+/** Metrics of requests and of calls to the store, engines and backend servers. */
 export interface GatewayMetrics extends Metrics {
   registry: Registry;
   requests: Counter<'route' | 'outcome'>;
@@ -20,7 +20,7 @@
   readiness: Gauge;
 }
 
-/** Metrics in a registry of their own. */
+/** Creates the metrics in a new registry. */
 export function createGatewayMetrics(): GatewayMetrics {
   const metrics = createMetrics();
   const registers = [metrics.registry];
