--- a/src/gateway/create-gateway.ts
+++ b/src/gateway/create-gateway.ts
@@ -1,5 +1,5 @@
 /**
- * One gateway, put together from its parts.
+ * Assembles a gateway from its components.
  */
 import { randomBytes, randomInt } from 'node:crypto';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -45,24 +45,24 @@
   StoreReachability,
 } from './types.js';
 
-/** A gateway that runs. */
+/** A running gateway. */
 export interface RunningGateway {
-  /** Finishes what is in flight and ends within the grace of the settings. */
+  /** Finishes the requests in flight and stops within the grace period of the settings. */
   stop(): Promise<void>;
   logger: GatewayContext['logger'];
 }
 
 const INCARNATION_BYTES = 9;
 const MAX_SEED = 2 ** 31 - 1;
-/** The balancer asks once a second and takes an instance out after two misses. */
-const BALANCER_MS: Milliseconds = 3_200;
-/** For the last answers to reach their callers, before their connections are closed. */
-const LAST_ANSWERS_MS: Milliseconds = 250;
-/** For the last lines to reach a reader that has fallen behind. */
-const LAST_LINES_MS: Milliseconds = 100;
-/** For the parts to close; the grace leaves about as much after the last answers and lines. */
-const CLOSE_MS: Milliseconds = 250;
-const PRUNE_EVERY_MS: Milliseconds = 1_000;
+/** Time within which the balancer, checking once a second, removes the instance after two failures. */
+const BALANCER_REMOVAL_MS: Milliseconds = 3_200;
+/** Lets the last responses reach their callers before connections are closed. */
+const RESPONSE_FLUSH_MS: Milliseconds = 250;
+/** Lets a slow reader receive the last log lines. */
+const LOG_FLUSH_MS: Milliseconds = 100;
+/** Limits the time for closing components and clients. */
+const CLOSE_TIMEOUT_MS: Milliseconds = 250;
+const PRUNE_INTERVAL_MS: Milliseconds = 1_000;
 
 /**
  * Starts a gateway and resolves when it listens.
@@ -114,7 +114,7 @@
     configuration.follower.doubtCallsBefore(at);
     fleet.follower.doubtCallsBefore(at);
   });
-  // A peer's copy may tell of it first.
+  // A snapshot from a peer may show a restore before any call to the store does.
   board.fleet.subscribe(() => {
     const { revision } = board.fleet.read();
     if (revision > 0) store.observeEra(eraOf(revision));
@@ -125,7 +125,7 @@
       metrics.connections.inc();
     },
   });
-  const calls = createEngineCalls({
+  const engineCalls = createEngineCalls({
     dialect: platform.orders,
     onProbe: () => {
       metrics.probes.inc();
@@ -136,9 +136,15 @@
     pool.endLife(server);
   });
   const watchdog = createWatchdog(context, backends);
-  const send = createAttemptSender(pool, platform.requests);
-  const quarantine = createQuarantine(context, calls);
-  const requestPath = createRequestPath({ context, backends, watchdog, send, quarantine });
+  const sendAttempt = createAttemptSender(pool, platform.requests);
+  const quarantine = createQuarantine(context, engineCalls);
+  const requestPath = createRequestPath({
+    context,
+    backends,
+    watchdog,
+    send: sendAttempt,
+    quarantine,
+  });
   const peers = createPeersPart({
     context,
     store,
@@ -155,7 +161,13 @@
     reachability,
     kind: GATEWAY_KIND,
   });
-  const groups = createGroupsPart({ context, store, calls, backends, contact: reachability });
+  const groups = createGroupsPart({
+    context,
+    store,
+    calls: engineCalls,
+    backends,
+    contact: reachability,
+  });
   watchdog.onPause(() => {
     groups.releaseAll();
   });
@@ -165,10 +177,10 @@
     if (board.fleet.read().revision === 0) return 'it knows no backend servers yet';
     return undefined;
   });
-  const pruning = setInterval(() => {
+  const pruneTimer = setInterval(() => {
     const { servers } = board.fleet.read();
     pool.prune((id) => servers.has(id));
-  }, PRUNE_EVERY_MS);
+  }, PRUNE_INTERVAL_MS);
 
   const listening = await requestPath.listen();
   if (listening.isErr()) logger.log('listenFailed', { reason: listening.error.message });
@@ -188,29 +200,29 @@
       const plan = planStop(startedAt, settings.stopping.graceMs);
       board.stop.write(plan);
       logger.log('gatewayStopping', { inFlight: requestPath.inFlight() });
-      const drained = Promise.allSettled([
+      const draining = Promise.allSettled([
         groups.stop(),
-        requestPath.drain(BALANCER_MS),
+        requestPath.drain(BALANCER_REMOVAL_MS),
         peers.announceStop(),
       ]);
-      await Promise.race([drained, sleep(plan.lastAnswerAt - startedAt)]);
-      const unfinished = requestPath.inFlight();
+      await Promise.race([draining, sleep(plan.lastAnswerAt - startedAt)]);
+      const unfinishedCount = requestPath.inFlight();
       requestPath.endAll();
-      await Promise.race([drained, sleep(LAST_ANSWERS_MS)]);
+      await Promise.race([draining, sleep(RESPONSE_FLUSH_MS)]);
       logger.log('gatewayStopped', {
-        inFlight: unfinished,
+        inFlight: unfinishedCount,
         tookMs: Math.round(clock.now() - startedAt),
       });
-      clearInterval(pruning);
+      clearInterval(pruneTimer);
       requestPath.close();
-      const closed = Promise.allSettled([
+      const closing = Promise.allSettled([
         ...parts.map((part) => part.stop()),
         store.close(),
         pool.close(),
-        calls.close(),
+        engineCalls.close(),
       ]);
-      await Promise.race([closed, sleep(CLOSE_MS)]);
-      await logger.flush(LAST_LINES_MS);
+      await Promise.race([closing, sleep(CLOSE_TIMEOUT_MS)]);
+      await logger.flush(LOG_FLUSH_MS);
     },
   };
 }
--- a/src/gateway/load-settings.ts
+++ b/src/gateway/load-settings.ts
@@ -1,5 +1,5 @@
 /**
- * Loading of a gateway's settings: all of the file is valid, or nothing changes.
+ * Loads the settings of a gateway; an invalid file is rejected as a whole.
  */
 import type { ResultAsync } from 'neverthrow';
 import {
@@ -10,7 +10,7 @@
 } from '../core/settings/load.js';
 import { gatewaySettingsSchema, type GatewaySettings } from './settings.js';
 
-/** The settings in `file`, or every fault found in it. */
+/** Resolves to the settings in `file`, or to every fault found in it. */
 export function loadGatewaySettings(file: string): ResultAsync<GatewaySettings, SettingsFailures> {
   return readSettingsFile(file)
     .andThen((text) => parseTomlFile(file, text))
--- a/src/gateway/run-gateway.ts
+++ b/src/gateway/run-gateway.ts
@@ -1,5 +1,5 @@
 /**
- * A gateway as a process: settings, signals, errors that nothing expected.
+ * Runs a gateway as a process: settings, signals and unexpected errors.
  */
 import { createGateway, type RunningGateway } from './create-gateway.js';
 import { loadGatewaySettings } from './load-settings.js';
@@ -15,16 +15,16 @@
     process.exitCode = EXIT_USAGE;
     return;
   }
-  // Before the start: a signal during it would otherwise end the process where it stands.
+  // Registered before the start, so that a signal during it doesn't kill the process.
   const stopSignal = new Promise<void>((resolve) => {
     process.on('SIGTERM', resolve);
     process.on('SIGINT', resolve);
   });
   const started: { gateway?: RunningGateway } = {};
   process.on('SIGHUP', () => {
-    if (started.gateway) void reload(file, started.gateway);
+    if (started.gateway) void validateSettings(file, started.gateway);
   });
-  survive(() => started.gateway);
+  logUnexpectedErrors(() => started.gateway);
   const gateway = await createGateway(settings.value, platform);
   started.gateway = gateway;
   await stopSignal;
@@ -32,11 +32,8 @@
   process.exit(0);
 }
 
-/**
- * One request that meets an error of ours must not take the others of the process with it. Every
- * such error is logged as one to report.
- */
-function survive(gateway: () => RunningGateway | undefined): void {
+/** Logs unexpected errors instead of ending the process, which would fail all requests in flight. */
+function logUnexpectedErrors(gateway: () => RunningGateway | undefined): void {
   const log = (error: unknown): void => {
     const reason = error instanceof Error ? (error.stack ?? error.message) : String(error);
     gateway()?.logger.log('unexpectedError', { reason });
@@ -46,10 +43,10 @@
 }
 
 /**
- * Reads the settings again. Addresses can't change in a running process; whether the new settings
- * are valid is told now instead of at the next start.
+ * Validates the settings file and logs the result. A running process doesn't apply changed settings;
+ * this reports faults before the next start.
  */
-async function reload(file: string, { logger }: RunningGateway): Promise<void> {
+async function validateSettings(file: string, { logger }: RunningGateway): Promise<void> {
   const settings = await loadGatewaySettings(file);
   settings.match(
     ({ name }) => {
--- a/src/gateway/settings.ts
+++ b/src/gateway/settings.ts
@@ -1,5 +1,5 @@
 /**
- * The settings of a gateway: schema, defaults and documentation in one place.
+ * Settings of a gateway: schema, defaults and descriptions.
  */
 import * as z from 'zod';
 
@@ -14,57 +14,60 @@
   logLevel: z
     .enum(['error', 'warn', 'info', 'debug'])
     .default('info')
-    .describe('Least level logged.'),
+    .describe('Lowest level that is logged.'),
   listen: z.strictObject({
-    callers: address.describe('Where callers reach it.'),
-    readiness: address.describe('Where the balancer asks whether it takes callers.'),
-    peers: address.describe('Where the other gateways reach it.'),
-    metrics: address.describe('Where metrics are served.'),
+    callers: address.describe('Address for callers.'),
+    readiness: address.describe('Address of the readiness checks of the balancer.'),
+    peers: address.describe('Address for the other gateways.'),
+    metrics: address.describe('Address that serves metrics.'),
   }),
   store: z.strictObject({
-    address: address.describe("The platform's object store."),
-    timeoutMs: milliseconds.default(1_500).describe('Longest wait for one call.'),
-    watchMs: milliseconds.default(8_000).describe('How long one watch waits for a change.'),
+    address: address.describe("Address of the platform's object store."),
+    timeoutMs: milliseconds.default(1_500).describe('Timeout of one call.'),
+    watchMs: milliseconds.default(8_000).describe('Longest wait of one watch for a change.'),
   }),
   configuration: z
     .strictObject({
       applyMs: milliseconds
         .default(2_000)
-        .describe('After this a change that the store has acknowledged must be in force.'),
+        .describe('Time within which an acknowledged change must be active.'),
     })
     .prefault({}),
   servers: z
     .strictObject({
       drainMs: milliseconds
         .default(2_000)
-        .describe('A server serves on for this long after the store has taken its word to leave.'),
+        .describe(
+          'Time for which a server still serves after the store acknowledged that it is leaving.',
+        ),
     })
     .prefault({}),
-  seeds: z.array(address).default([]).describe('Peer addresses of some gateways to start from.'),
+  seeds: z.array(address).default([]).describe('Peer addresses of gateways used for discovery.'),
   retries: z
     .strictObject({
-      ratio: z.number().nonnegative().default(0.1).describe('Repeats allowed for each request.'),
-      windowMs: milliseconds.default(10_000).describe('Span that repeats are counted over.'),
+      ratio: z.number().nonnegative().default(0.1).describe('Retries allowed per request.'),
+      windowMs: milliseconds.default(10_000).describe('Window over which retries are counted.'),
       slack: z
         .number()
         .nonnegative()
         .default(20)
-        .describe('Repeats allowed in a window beyond that, for all gateways together.'),
+        .describe('Additional retries allowed per window, for all gateways together.'),
     })
     .prefault({}),
   engines: z
     .strictObject({
       stallMs: milliseconds
         .default(6_000)
-        .describe('After this a head without one of its members gives its replica up.'),
+        .describe('Time after which a head that lacks a member gives up its replica.'),
     })
     .prefault({}),
   stopping: z
     .strictObject({
-      graceMs: milliseconds.default(8_000).describe('Longest time from the signal to the end.'),
+      graceMs: milliseconds
+        .default(8_000)
+        .describe('Longest time from the stop signal to the exit.'),
     })
     .prefault({}),
 });
 
-/** Everything a gateway is told about its place. */
 export type GatewaySettings = z.infer<typeof gatewaySettingsSchema>;
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of a gateway share.
+ * Types shared by the components of a gateway.
  */
 import type { Section, WritableSection } from '../board/index.js';
 import type { ServingFleet, ServingIndex, StopPlan } from '../controllers/forwarding/index.js';
@@ -18,59 +18,59 @@
 import type { GatewayMetrics } from './operations/metrics.js';
 import type { GatewaySettings } from './settings.js';
 
-/** A platform that gateways run on: how its store, engines, callers and configuration are written. */
+/** Adapter of a platform: encodings of its store, engines, requests and configuration. */
 export interface ServingPlatform {
   store: StoreDialect;
   orders: OrderDialect;
   requests: RequestDialect;
-  /** The kind of objects that hold one backend server each. */
+  /** Kind of the store objects that describe one backend server each. */
   serverKind: string;
   decodeServer(name: string, value: unknown): BackendServer | undefined;
-  /** Where the configuration stands. */
+  /** Kind and name of the store object that holds the configuration. */
   configurationKind: string;
   configurationName: string;
   decodeConfiguration(value: unknown): DecodedConfiguration;
 }
 
-/** A configuration as read, or why it can't be. */
+/** A decoded configuration, or the reason why it is invalid. */
 export type DecodedConfiguration =
   { kind: 'decoded'; configuration: ServingConfiguration } | { kind: 'invalid'; reason: string };
 
-/** How this gateway stands with the store. */
+/** Whether this gateway reaches the store. */
 export interface StoreReachability {
   reachable: boolean;
-  /** When that last changed. */
+  /** When `reachable` last changed. */
   since: Milliseconds;
 }
 
-/** What the other gateways have under way. */
+/** Requests in flight at the other gateways. */
 export interface PeerLoad {
-  /** Requests, by backend server. */
+  /** Requests in flight, by backend server. */
   byServer: ReadonlyMap<string, number>;
-  /** Gateways that live, as far as is known, and whose requests are not counted yet. */
+  /** Number of gateways known to be alive whose requests are not included yet. */
   unheard: number;
-  /** It comes over hubs, and is about as old as a request lasts. */
+  /** The counts are relayed by hubs, and about as old as a request lasts. */
   isLate: boolean;
 }
 
-/** Where the parts leave what they know. Each section has one writer. */
+/** State shared between components. Each section has one writer. */
 export interface GatewayBoard {
-  /** The version in force; absent before the first. */
+  /** The active configuration; undefined before the first. */
   serving: Section<ServingIndex | undefined>;
-  /** Since when the version in force is known to be the newest. */
+  /** Last confirmation that the active configuration is the newest. */
   configurationProof: Section<Proof | undefined>;
   fleet: Section<ServingFleet>;
-  /** Since when what is known of the backend servers is known to be the newest. */
+  /** Last confirmation that the known backend servers are up to date. */
   fleetProof: Section<Proof | undefined>;
   storeContact: Section<StoreReachability>;
-  /** By name. */
+  /** Peers by name. */
   peers: Section<ReadonlyMap<string, GatewayPeer>>;
   peerLoad: Section<PeerLoad>;
-  /** Absent until the gateway is told to stop. */
+  /** Undefined until the gateway is told to stop. */
   stop: Section<StopPlan | undefined>;
 }
 
-/** The writers of all sections, handed out one by one. */
+/** Writable view of the board; each component receives only the sections that it writes. */
 export interface GatewayBoardWriters extends GatewayBoard {
   serving: WritableSection<ServingIndex | undefined>;
   configurationProof: WritableSection<Proof | undefined>;
@@ -82,7 +82,7 @@
   stop: WritableSection<StopPlan | undefined>;
 }
 
-/** What every part of a gateway is given. */
+/** Dependencies passed to every component of a gateway. */
 export interface GatewayContext {
   settings: GatewaySettings;
   platform: ServingPlatform;
@@ -91,11 +91,11 @@
   random: Random;
   logger: Logger;
   metrics: GatewayMetrics;
-  /** One for each start of the process. */
+  /** Identifies this run of the process. */
   incarnation: string;
 }
 
-/** A part with a life of its own. */
+/** A component with its own lifecycle. */
 export interface GatewayPart {
   start(): void;
   stop(): Promise<void> | void;
