--- a/features/gateway/stand-ins/configuration.ts
+++ b/features/gateway/stand-ins/configuration.ts
@@ -1,10 +1,10 @@
 /**
- * A configuration as an operator writes it on the platform.
+ * An example configuration in the format of the platform.
  */
 
 export interface ExampleOptions {
   version?: number;
-  /** Overrides of the fields of all routes. */
+  /** Overrides fields of all routes. */
   route?: Record<string, unknown>;
   keys?: readonly string[];
 }
@@ -12,7 +12,7 @@
 export const MODEL = 'small';
 export const KEY = 'key-1';
 
-/** What a caller sends with any request of the example. */
+/** Headers of a caller's request. */
 export function exampleHeaders(id: string, deadlineMs = 2_000): Record<string, string> {
   return {
     host: 'passes.example',
@@ -25,7 +25,7 @@
   };
 }
 
-/** One plain service with a safe and an unsafe route, one engine service with a stream. */
+/** A plain service with a safe and an unsafe route, and an engine service with a streaming route. */
 export function exampleConfiguration(options: ExampleOptions = {}): unknown {
   const { version = 2, route = {}, keys = [KEY] } = options;
   const common = {
--- a/features/gateway/stand-ins/engine.ts
+++ b/features/gateway/stand-ins/engine.ts
@@ -7,7 +7,7 @@
 import { hardReset } from '../../../src/core/sockets/index.js';
 import type { StoreStandIn } from './store.js';
 
-/** One request that arrived. */
+/** One received request. */
 export interface Arrival {
   id: string;
   server: string;
@@ -15,11 +15,11 @@
   path: string;
   headers: IncomingMessage['headers'];
   body: string;
-  /** When, by the scenario's own clock. */
+  /** Time of arrival on the clock of the scenario. */
   at: number;
-  /** It began to run. */
+  /** Whether the server began to run it. */
   ran: boolean;
-  /** When the server ended under it. */
+  /** When the server crashed while running it. */
   endedAt?: number;
 }
 
@@ -39,25 +39,25 @@
   members: string[];
 }
 
-/** What a backend server does to the next requests. */
+/** How a backend server treats the next requests. */
 export type EngineFault =
   | { kind: 'none' }
-  /** Accepts and says nothing more; running streams stop. */
+  /** Accepts requests without answering; running streams stop. */
   | { kind: 'stall' }
-  /** Runs the request and breaks the connection before the answer. */
+  /** Runs the request and resets the connection before the answer. */
   | { kind: 'loseAnswer' }
-  /** Breaks a stream off after `events`, within an event. */
+  /** Interrupts a stream within the event that follows `events`. */
   | { kind: 'cutStream'; events: number }
-  /** Says that it did not run it. */
+  /** Answers that it did not run the request. */
   | { kind: 'refuse' }
-  /** Sends an answer of another request first. */
+  /** Sends an answer that belongs to another request. */
   | { kind: 'foreignAnswer' }
   /** Answers without a length and resets before the end. */
   | { kind: 'resetUnframed' }
   /** Answers without a length and ends the connection. */
   | { kind: 'unframed' }
   | { kind: 'fail' }
-  /** Ends when it begins to run a request with this body, and starts again later. */
+  /** Crashes when it begins to run a request with this body, and restarts later. */
   | { kind: 'endUnder'; body: string; backAfterMs: number }
   | { kind: 'encode' };
 
@@ -69,14 +69,14 @@
   store: StoreStandIn;
   /** Shared by all servers of a scenario. */
   journal: Arrival[];
-  /** Events of each stream. */
+  /** Number of events in each stream. */
   events?: number;
   gapMs?: number;
-  /** Where others reach it, if not at its own address. */
+  /** Maps its own address to the one in its entry, such as that of a proxy. */
   advertised?: (address: string) => Promise<string>;
-  /** All engines, for those that check what members of a replica must never see. */
+  /** All engines, to check the invariants of replicas. */
   fleet?: ReadonlyMap<string, EngineStandIn>;
-  /** What no engine must see, as it was seen. */
+  /** Collects violated invariants. */
   breaches?: string[];
 }
 
@@ -86,15 +86,15 @@
 export class EngineStandIn {
   fault: EngineFault = { kind: 'none' };
   membership: Membership | undefined;
-  /** Models on the host. */
+  /** Models staged on the host. */
   staged: string[] = [];
   orders: string[] = [];
-  /** Orders are not answered and carried out this much later. */
+  /** When positive, orders are not answered and are carried out after this delay. */
   lateByMs = 0;
-  /** Replicas that this life was ready in. */
-  readonly readyIn = new Set<string>();
+  /** Replicas that this incarnation was ready in. */
+  readonly readyGroups = new Set<string>();
   hasCrashed = false;
-  /** Unix millisecond of its start. */
+  /** Start time in Unix milliseconds. */
   private born = Date.now();
   private model: string | undefined;
   private seenEpoch = 0;
@@ -102,7 +102,7 @@
   private readonly sockets = new Set<Socket>();
   private readonly server: Server;
   private port = 0;
-  private reached = '';
+  private advertisedAddress = '';
 
   constructor(readonly options: EngineOptions) {
     this.server = createServer((request, response) => {
@@ -116,7 +116,7 @@
     });
   }
 
-  /** Ends at once and starts again under its id, at its address, with nothing of before. */
+  /** Crashes and starts again with the same id and address and without its former state. */
   async restart(): Promise<void> {
     this.crash();
     this.born = Math.max(Date.now(), this.born + 1);
@@ -124,7 +124,7 @@
     this.model = undefined;
     this.staged = [];
     this.orders = [];
-    this.readyIn.clear();
+    this.readyGroups.clear();
     this.seenEpoch = 0;
     this.leaving = false;
     await new Promise<void>((resolve) => this.server.listen(this.port, '127.0.0.1', resolve));
@@ -135,16 +135,16 @@
   async listen(): Promise<void> {
     await new Promise<void>((resolve) => this.server.listen(0, '127.0.0.1', resolve));
     this.port = (this.server.address() as AddressInfo).port;
-    const own = `127.0.0.1:${this.port}`;
-    this.reached = (await this.options.advertised?.(own)) ?? own;
+    const ownAddress = `127.0.0.1:${this.port}`;
+    this.advertisedAddress = (await this.options.advertised?.(ownAddress)) ?? ownAddress;
     this.report();
   }
 
   get address(): string {
-    return this.reached;
+    return this.advertisedAddress;
   }
 
-  /** Ends at once, without a word to the store. */
+  /** Stops at once without updating its entry. */
   crash(): void {
     this.hasCrashed = true;
     this.server.close();
@@ -209,15 +209,15 @@
     const answer = (status: number): void => {
       response.writeHead(status, { 'content-length': 0 }).end();
     };
-    const own = this.membership && keyOf(this.membership);
-    const isMine = own === keyOf({ name: order.group, epoch: order.epoch });
+    const ownKey = this.membership && groupKey(this.membership);
+    const isOwnGroup = ownKey === groupKey({ name: order.group, epoch: order.epoch });
     switch (order.operation) {
       case 'join':
         if (order.epoch < this.seenEpoch) {
           answer(412);
           return;
         }
-        if (isMine) {
+        if (isOwnGroup) {
           answer(200);
           return;
         }
@@ -225,18 +225,18 @@
         await this.join(order);
         return;
       case 'open':
-        if (!isMine || this.membership?.state !== 'ready') answer(409);
+        if (!isOwnGroup || this.membership?.state !== 'ready') answer(409);
         else {
           answer(202);
           this.setState('open');
         }
         return;
       case 'close':
-        if (isMine) this.setState('ready');
-        answer(isMine ? 202 : 200);
+        if (isOwnGroup) this.setState('ready');
+        answer(isOwnGroup ? 202 : 200);
         return;
       case 'leave':
-        if (isMine) this.membership = undefined;
+        if (isOwnGroup) this.membership = undefined;
         this.report();
         answer(200);
         return;
@@ -251,7 +251,7 @@
   }
 
   private async join(order: Order): Promise<void> {
-    this.checkLeft(order);
+    this.checkPreviousGroupClosed(order);
     this.seenEpoch = order.epoch;
     const { group, epoch, members } = order;
     const rank = members.indexOf(this.options.id);
@@ -263,12 +263,12 @@
     this.model = order.model;
     if (this.staged.length === 0) this.staged = [order.model];
     if (this.membership.name !== order.group) return;
-    this.readyIn.add(keyOf(this.membership));
+    this.readyGroups.add(groupKey(this.membership));
     this.setState('ready');
   }
 
-  /** No member may go to another replica while the head of its own still takes requests. */
-  private checkLeft(order: Order): void {
+  /** Invariant: no member joins another replica while the head of its current one serves requests. */
+  private checkPreviousGroupClosed(order: Order): void {
     const { membership, options } = this;
     if (membership === undefined || membership.name === order.group) return;
     const head = options.fleet?.get(membership.members[0] ?? '');
@@ -278,13 +278,13 @@
     options.breaches?.push(`${options.id} joined ${order.group} while ${membership.name} is open`);
   }
 
-  /** No request may begin in a replica with a member that never was ready in it. */
-  private checkWhole(): void {
+  /** Invariant: no request begins in a replica with a member that was never ready in it. */
+  private checkAllMembersReady(): void {
     const { membership, options } = this;
     for (const id of membership?.members ?? []) {
       const member = options.fleet?.get(id);
       if (!membership || !member || member.hasCrashed) continue;
-      if (member.readyIn.has(keyOf(membership))) continue;
+      if (member.readyGroups.has(groupKey(membership))) continue;
       options.breaches?.push(`${membership.name} served while ${id} was never ready in it`);
     }
   }
@@ -321,16 +321,16 @@
       return;
     }
     arrival.ran = true;
-    this.checkWhole();
+    this.checkAllMembersReady();
     if (this.fault.kind === 'endUnder' && this.fault.body === body) {
-      await this.endUnder(arrival, this.fault.backAfterMs);
+      await this.crashDuring(arrival, this.fault.backAfterMs);
       return;
     }
     if (domain) await this.stream(request, response, id);
     else await this.answer(response, id);
   }
 
-  private async endUnder(arrival: Arrival, backAfterMs: number): Promise<void> {
+  private async crashDuring(arrival: Arrival, backAfterMs: number): Promise<void> {
     await sleep(this.options.gapMs ?? 5);
     if (this.hasCrashed) return;
     arrival.endedAt = performance.now();
@@ -405,11 +405,11 @@
   }
 }
 
-function keyOf({ name, epoch }: Pick<Membership, 'name' | 'epoch'>): string {
+function groupKey({ name, epoch }: Pick<Membership, 'name' | 'epoch'>): string {
   return `${name} ${epoch}`;
 }
 
-/** What was written is on its way first: a reset in the same moment would overtake its own data. */
+/** Resets after a delay, so that data already written is delivered first. */
 async function resetSoon(response: ServerResponse): Promise<void> {
   await sleep(RESET_AFTER_MS);
   hardReset(response.socket);
--- a/features/gateway/stand-ins/store.ts
+++ b/features/gateway/stand-ins/store.ts
@@ -1,11 +1,11 @@
 /**
- * A stand-in for the platform's object store, with the faults that gateways must live with.
+ * A stand-in for the platform's object store that can inject faults.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { hardReset } from '../../../src/core/sockets/index.js';
 
-interface Stored {
+interface StoredObject {
   metadata: { name: string; revision: number; created_rev: number };
   spec: unknown;
 }
@@ -13,41 +13,41 @@
 interface Change {
   revision: number;
   kind: string;
-  object: Stored;
+  object: StoredObject;
   deleted: boolean;
 }
 
 /**
- * How the store treats calls. `silent`: calls that come, and watches that wait, are never answered,
- * also after the store's return. `silentWatches`: the same of watches that wait for a change alone.
+ * How the store treats calls. `silent`: new calls and waiting watches are never answered, not even
+ * after the fault has ended. `silentWatches`: the same for waiting watches only.
  */
 export type StoreFault = 'none' | 'down' | 'reset' | 'silent' | 'silentWatches' | 'loseWrites';
 
-/** What the store comes back with. */
+/** State that the store can be restored from. */
 interface StoreCopy {
   revision: number;
-  kinds: ReadonlyMap<string, ReadonlyMap<string, Stored>>;
+  kinds: ReadonlyMap<string, ReadonlyMap<string, StoredObject>>;
   changes: readonly Change[];
 }
 
-/** Of a store that has come back from copies before. */
+/** Era of a store that has been restored before. */
 const FIRST_ERA = 3;
 
-/** The store, in the process of the scenario. */
+/** A store that runs in the process of the scenario. */
 export class StoreStandIn {
   private currentFault: StoreFault = 'none';
-  /** Conditional writes taken, newest last: kind and name. */
+  /** Accepted conditional writes as `kind/name`, newest last. */
   readonly writes: string[] = [];
   calls = 0;
-  private readonly kinds = new Map<string, Map<string, Stored>>();
+  private readonly kinds = new Map<string, Map<string, StoredObject>>();
   private readonly changes: Change[] = [];
-  private readonly waiting = new Set<() => void>();
+  private readonly waitingWatches = new Set<() => void>();
   private revision = 1;
-  /** In all answers; rises each time that the store comes back from a copy. */
+  /** Sent with each answer; increases with each restore. */
   private era = FIRST_ERA;
   private copy: StoreCopy | undefined;
-  /** Times that the store fell silent: a call from before one is never answered. */
-  private silences = 0;
+  /** Number of times that the store has stopped answering; watches from before are never answered. */
+  private hangCount = 0;
   private readonly server: Server;
 
   constructor() {
@@ -62,7 +62,7 @@
 
   set fault(fault: StoreFault) {
     this.currentFault = fault;
-    if (fault === 'silent' || fault === 'silentWatches') this.silences += 1;
+    if (fault === 'silent' || fault === 'silentWatches') this.hangCount += 1;
   }
 
   get address(): string {
@@ -79,9 +79,9 @@
     this.server.closeAllConnections();
   }
 
-  /** Writes as an operator or backend server does. */
+  /** Writes an object unconditionally, like an operator or backend server. */
   put(kind: string, name: string, spec: unknown): void {
-    this.store(kind, name, spec);
+    this.storeObject(kind, name, spec);
   }
 
   remove(kind: string, name: string): void {
@@ -90,39 +90,49 @@
     this.kinds.get(kind)?.delete(name);
     this.revision += 1;
     const metadata = { ...object.metadata, revision: this.revision };
-    this.record({ revision: this.revision, kind, object: { ...object, metadata }, deleted: true });
+    this.appendChange({
+      revision: this.revision,
+      kind,
+      object: { ...object, metadata },
+      deleted: true,
+    });
   }
 
-  /** Lets lists and watches of `kind` show `item` as it is, as another writer may have left it. */
+  /** Makes lists and watches of `kind` return `item` unchanged, as another writer may have left it. */
   putRaw(kind: string, name: string, item: unknown): void {
     this.revision += 1;
-    const objects = this.kinds.get(kind) ?? new Map<string, Stored>();
+    const objects = this.kinds.get(kind) ?? new Map<string, StoredObject>();
     this.kinds.set(kind, objects);
-    objects.set(name, item as Stored);
-    this.record({ revision: this.revision, kind, object: item as Stored, deleted: false });
+    objects.set(name, item as StoredObject);
+    this.appendChange({
+      revision: this.revision,
+      kind,
+      object: item as StoredObject,
+      deleted: false,
+    });
   }
 
   read(kind: string, name: string): unknown {
     return this.kinds.get(kind)?.get(name)?.spec;
   }
 
-  /** Drops the history: watches from before are told that it is gone. */
+  /** Discards the history: watches of earlier revisions are told that it is gone. */
   compact(): void {
     this.changes.length = 0;
     this.revision += 1;
-    this.wake();
+    this.wakeWatches();
   }
 
-  keepCopy(): void {
+  saveCopy(): void {
     const kinds = [...this.kinds].map(([kind, objects]) => [kind, new Map(objects)] as const);
     this.copy = { revision: this.revision, kinds: new Map(kinds), changes: [...this.changes] };
   }
 
   /**
-   * Comes back from the copy: what was written since is gone, and its revisions are given out again.
-   * Watches that wait are cut.
+   * Restores the copy: later writes are lost, and their revisions are assigned again. Waiting watches
+   * are never answered.
    */
-  returnFromCopy(): void {
+  restoreCopy(): void {
     if (!this.copy) throw new Error('there is no copy');
     const { revision, kinds, changes } = this.copy;
     this.revision = revision;
@@ -130,29 +140,29 @@
     this.kinds.clear();
     for (const [kind, objects] of kinds) this.kinds.set(kind, new Map(objects));
     this.era += 1;
-    this.silences += 1;
-    this.wake();
+    this.hangCount += 1;
+    this.wakeWatches();
     this.server.closeAllConnections();
   }
 
-  private store(kind: string, name: string, spec: unknown): Stored {
+  private storeObject(kind: string, name: string, spec: unknown): StoredObject {
     this.revision += 1;
-    const objects = this.kinds.get(kind) ?? new Map<string, Stored>();
+    const objects = this.kinds.get(kind) ?? new Map<string, StoredObject>();
     this.kinds.set(kind, objects);
     const created = objects.get(name)?.metadata.created_rev ?? this.revision;
     const object = { metadata: { name, revision: this.revision, created_rev: created }, spec };
     objects.set(name, object);
-    this.record({ revision: this.revision, kind, object, deleted: false });
+    this.appendChange({ revision: this.revision, kind, object, deleted: false });
     return object;
   }
 
-  private record(change: Change): void {
+  private appendChange(change: Change): void {
     this.changes.push(change);
-    this.wake();
+    this.wakeWatches();
   }
 
-  private wake(): void {
-    for (const wake of [...this.waiting]) wake();
+  private wakeWatches(): void {
+    for (const wake of [...this.waitingWatches]) wake();
   }
 
   private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -171,7 +181,9 @@
     const url = new URL(request.url ?? '/', 'http://store');
     const [, , kind = '', name] = url.pathname.split('/').map(decodeURIComponent);
     const body =
-      chunks.length > 0 ? (JSON.parse(Buffer.concat(chunks).toString()) as Stored) : undefined;
+      chunks.length > 0
+        ? (JSON.parse(Buffer.concat(chunks).toString()) as StoredObject)
+        : undefined;
     if (request.method === 'GET') await this.get(kind, name, url, response);
     else if (body) this.write(kind, name ?? body.metadata.name, body, request.method, response);
   }
@@ -182,7 +194,7 @@
     url: URL,
     response: ServerResponse,
   ): Promise<void> {
-    const objects = this.kinds.get(kind) ?? new Map<string, Stored>();
+    const objects = this.kinds.get(kind) ?? new Map<string, StoredObject>();
     if (name !== undefined) {
       const object = objects.get(name);
       this.answer(response, object ? 200 : 404, object ?? { as_of: this.revision });
@@ -207,7 +219,7 @@
     response: ServerResponse,
   ): Promise<void> {
     const endAt = performance.now() + waitMs;
-    const { silences } = this;
+    const { hangCount: silences } = this;
     for (;;) {
       const oldest = this.changes[0]?.revision ?? this.revision;
       const isUnknown = since > this.revision;
@@ -226,27 +238,27 @@
       }
       await new Promise<void>((resolve) => {
         const done = (): void => {
-          this.waiting.delete(done);
+          this.waitingWatches.delete(done);
           clearTimeout(timer);
           resolve();
         };
         const timer = setTimeout(done, leftMs);
-        this.waiting.add(done);
+        this.waitingWatches.add(done);
       });
-      if (silences !== this.silences || this.fault === 'silentWatches') return;
+      if (silences !== this.hangCount || this.fault === 'silentWatches') return;
     }
   }
 
   private write(
     kind: string,
     name: string,
-    body: Stored,
+    body: StoredObject,
     method: string | undefined,
     response: ServerResponse,
   ): void {
     const current = this.kinds.get(kind)?.get(name);
     const isCreate = method === 'POST';
-    const expected = (body.metadata as Partial<Stored['metadata']>).revision;
+    const expected = (body.metadata as Partial<StoredObject['metadata']>).revision;
     const conflicts = isCreate
       ? current !== undefined
       : expected !== undefined && current?.metadata.revision !== expected;
@@ -259,7 +271,7 @@
       return;
     }
     this.writes.push(`${kind}/${name}`);
-    const object = this.store(kind, name, body.spec);
+    const object = this.storeObject(kind, name, body.spec);
     if (this.fault === 'loseWrites') response.destroy();
     else this.answer(response, 200, object);
   }
--- a/features/gateway/store-copy.steps.ts
+++ b/features/gateway/store-copy.steps.ts
@@ -69,7 +69,7 @@
   'the store keeps a copy, and the servers write {int} times after that',
   async function (this: CopyWorld, times: number) {
     const { site } = this;
-    site.store.keepCopy();
+    site.store.saveCopy();
     for (let index = 0; index < times; index += 1) {
       for (const server of site.servers) server.report();
     }
@@ -80,7 +80,7 @@
 Given(
   'the store keeps a copy, and the first server announces that it is leaving',
   async function (this: CopyWorld) {
-    this.site.store.keepCopy();
+    this.site.store.saveCopy();
     this.silentServer = firstServer(this);
     this.silentServer.drain();
     await waitForEvent(this, 'serverChanged');
@@ -88,14 +88,14 @@
 );
 
 Given('the store keeps a copy, and the first server goes', async function (this: CopyWorld) {
-  this.site.store.keepCopy();
+  this.site.store.saveCopy();
   this.silentServer = firstServer(this);
   this.site.store.remove('servers', this.silentServer.options.id);
   await waitForEvent(this, 'serverGone');
 });
 
 Given('the store keeps a copy, and the operator revokes the key', async function (this: CopyWorld) {
-  this.site.store.keepCopy();
+  this.site.store.saveCopy();
   this.site.configure({ version: 9, keys: ['another-key'] });
   await waitFor('the key to be gone', async () =>
     (await requestAll(this)).every(({ status }) => status === 401),
@@ -111,7 +111,7 @@
       await this.site.addServer({ id: `engine-${index}`, service: 'models', domain });
     }
     this.site.configure();
-    this.site.store.keepCopy();
+    this.site.store.saveCopy();
     for (let index = 0; index < gateways; index += 1) await this.site.startGateway();
     await this.site.whenOpen(engines / 2);
     await sleep(500);
@@ -124,7 +124,7 @@
   async function (this: CopyWorld, servers: number, gateways: number) {
     await openSite(this, servers);
     this.site.configure();
-    this.site.store.keepCopy();
+    this.site.store.saveCopy();
     for (let index = 0; index < gateways; index += 1) {
       await this.site.whenReady(await this.site.startGateway());
     }
@@ -137,7 +137,7 @@
     const { store } = this.site;
     store.fault = 'down';
     await sleep(ms);
-    store.returnFromCopy();
+    store.restoreCopy();
     store.fault = 'none';
     void rewriteEntries(this);
   },
@@ -259,11 +259,11 @@
       onRestore: () => undefined,
     });
     this.store.put('kind', 'object', 'first');
-    this.store.keepCopy();
+    this.store.saveCopy();
     this.store.put('kind', 'object', 'of the lost history');
     const read = (await this.client.read('kind', 'object'))._unsafeUnwrap();
     this.readRevision = read?.revision ?? 0;
-    this.store.returnFromCopy();
+    this.store.restoreCopy();
     this.store.put('kind', 'object', 'of the new history');
     await this.client.list('kind');
   },
