--- a/features/gateway/configuration-pace.steps.ts
+++ b/features/gateway/configuration-pace.steps.ts
@@ -58,7 +58,7 @@
 );
 
 When(
-  /^it hears of (\d+) versions?, one every (\d+) ms$/,
+  /^it learns of (\d+) versions?, one every (\d+) ms$/,
   async function (this: PaceWorld, versions: string, everyMs: string) {
     for (let sent = 0; sent < Number(versions); sent += 1) {
       this.version += 1;
--- a/features/gateway/start-in-outage.feature
+++ b/features/gateway/start-in-outage.feature
@@ -11,7 +11,7 @@
   Scenario: A gateway that knows nothing yet asks at once
     # A gateway without a configuration must not wait for relayed updates as a running one does, since
     # it rejects its callers meanwhile.
-    Given a gateway that has just started and hears of a configuration every 100 ms
+    Given a gateway that has just started and learns of a configuration every 100 ms
     Then it fetches the configuration from another gateway within 100 ms
 
   Scenario: The store is away at the moment at which gateways make themselves known
@@ -19,4 +19,4 @@
     # other, both plan replicas, and each counts only its own requests.
     Given the store is unavailable before two gateways without peers start
     When the store is back
-    Then they hear of each other
+    Then they discover each other
--- a/features/gateway/start-in-outage.steps.ts
+++ b/features/gateway/start-in-outage.steps.ts
@@ -100,7 +100,7 @@
 });
 
 Given(
-  'a gateway that has just started and hears of a configuration every {int} ms',
+  'a gateway that has just started and learns of a configuration every {int} ms',
   function (this: StartWorld, everyMs: number) {
     const lag = new LagTracker(0);
     const own = { configurationVersion: 0, fleetRevision: 0 };
@@ -133,8 +133,8 @@
   this.site.store.fault = 'none';
 });
 
-Then('they hear of each other', async function (this: StartWorld) {
-  await waitFor('both to hear of the other', () =>
+Then('they discover each other', async function (this: StartWorld) {
+  await waitFor('both to discover each other', () =>
     this.gateways.every(({ lines }) => lines.some(({ name }) => name === 'peerHeard')),
   );
 });
--- a/features/gateway/store-updates.steps.ts
+++ b/features/gateway/store-updates.steps.ts
@@ -56,7 +56,7 @@
       );
       for (const { options } of servers) store.remove('servers', options.id);
       store.fault = 'none';
-      await waitFor('the gateway to hear the store', () => {
+      await waitFor('the gateway to reach the store', () => {
         const regained = this.gateway.lines.filter(({ name }) => name === 'storeRegained');
         return regained.length > 1;
       });
--- a/src/gateway/store/fleet-part.ts
+++ b/src/gateway/store/fleet-part.ts
@@ -46,9 +46,9 @@
   /** Records that a peer at `revision` had confirmed at `at` that there was nothing newer. */
   takeProof(revision: number, at: Milliseconds): void;
   /** Calls `listener` with each update that came from the store itself. */
-  onNews(listener: (news: FleetNews) => void): void;
+  onNews(listener: (update: FleetNews) => void): void;
   /** Applies an update from a peer. One that leaves a gap is ignored; a whole copy closes the gap. */
-  takeNews(news: FleetNews): void;
+  takeNews(update: FleetNews): void;
   copy(): FleetCopy;
   /** Applies the state of a peer if its revision is later. */
   takeCopy(copy: FleetCopy): void;
@@ -71,7 +71,7 @@
 export function createFleetPart(options: FleetPartOptions): FleetPart {
   const { context, store, reachability, section, proof } = options;
   const { platform, logger, clock } = context;
-  const listeners: ((news: FleetNews) => void)[] = [];
+  const listeners: ((update: FleetNews) => void)[] = [];
   /** Incarnations of servers that are gone, with the time at which they were removed. */
   const goneIncarnations = new Map<string, Milliseconds>();
   let expiryTimer: NodeJS.Timeout | undefined;
