--- a/features/gateway/start-in-outage.steps.ts
+++ b/features/gateway/start-in-outage.steps.ts
@@ -19,7 +19,7 @@
   /** A request that keeps the stopping gateway alive. */
   unfinished: ClientRequest;
   gateways: GatewayProcess[];
-  fetchedAfterMs: number | undefined;
+  lateAfterMs: number | undefined;
 }
 
 const LIST = { path: '/list/slots' };
@@ -105,9 +105,9 @@
     const lag = new LagTracker(0);
     const own = { configurationVersion: 0, fleetRevision: 0 };
     const known = { configurationVersion: 2, fleetRevision: 5 };
-    this.fetchedAfterMs = undefined;
-    for (let now = 0; this.fetchedAfterMs === undefined && now < LONGEST_LAG_MS; now += everyMs) {
-      if (lag.isLate(own, known, now)) this.fetchedAfterMs = now;
+    this.lateAfterMs = undefined;
+    for (let now = 0; this.lateAfterMs === undefined && now < LONGEST_LAG_MS; now += everyMs) {
+      if (lag.isLate(own, known, now)) this.lateAfterMs = now;
     }
   },
 );
--- a/features/gateway/store-feed.feature
+++ b/features/gateway/store-feed.feature
@@ -17,19 +17,19 @@
     Then every gateway refuses with 401 within 1000 ms of the acknowledgement
 
     Examples:
-      | fails                               | ms   |
-      | is silent                           | 1000 |
-      | is silent                           | 6000 |
-      | is silent                           | 9000 |
-      | rejects all calls                   | 3000 |
-      | resets connections                  | 3000 |
-      | drops its history                   | 1000 |
-      | is cut off from half of them        | 3000 |
-      | rejects calls from half of them     | 3000 |
-      | can not send                        | 3000 |
-      | can not receive                     | 3000 |
-      | answers 800 ms late                 | 3000 |
-      | is silent, and half of them restart | 3000 |
+      | fails                              | ms   |
+      | is silent                          | 1000 |
+      | is silent                          | 6000 |
+      | is silent                          | 9000 |
+      | turns everybody away               | 3000 |
+      | resets connections                 | 3000 |
+      | drops its history                  | 1000 |
+      | is cut off from half of them       | 3000 |
+      | turns half of them away            | 3000 |
+      | can not be heard                   | 3000 |
+      | does not hear                      | 3000 |
+      | answers 800 ms late                | 3000 |
+      | is silent, and half of them start anew | 3000 |
 
   Scenario: The store answers short calls, and watches wait in vain
     # A watch on a dead connection looks like one without changes.
--- a/features/gateway/store-feed.steps.ts
+++ b/features/gateway/store-feed.steps.ts
@@ -70,7 +70,7 @@
   await failStore(this, 'silent', ms);
 });
 
-When('the store rejects all calls for {int} ms', async function (this: FeedWorld, ms: number) {
+When('the store turns everybody away for {int} ms', async function (this: FeedWorld, ms: number) {
   await failStore(this, 'down', ms);
 });
 
@@ -92,17 +92,17 @@
 );
 
 When(
-  'the store rejects calls from half of them for {int} ms',
+  'the store turns half of them away for {int} ms',
   async function (this: FeedWorld, ms: number) {
     await failLinks(halfOf(this.links), { refuse: true, resetAll: true }, { refuse: false }, ms);
   },
 );
 
-When('the store can not send for {int} ms', async function (this: FeedWorld, ms: number) {
+When('the store can not be heard for {int} ms', async function (this: FeedWorld, ms: number) {
   await failLinks(this.links, { cut: 'toSource' }, { cut: 'none' }, ms);
 });
 
-When('the store can not receive for {int} ms', async function (this: FeedWorld, ms: number) {
+When('the store does not hear for {int} ms', async function (this: FeedWorld, ms: number) {
   await failLinks(this.links, { cut: 'toTarget' }, { cut: 'none' }, ms);
 });
 
@@ -116,7 +116,7 @@
 });
 
 When(
-  'the store is silent, and half of them restart for {int} ms',
+  'the store is silent, and half of them start anew for {int} ms',
   async function (this: FeedWorld, ms: number) {
     const { site } = this;
     site.store.fault = 'silent';
