--- a/src/gateway/create-gateway.ts
+++ b/src/gateway/create-gateway.ts
@@ -1,5 +1,5 @@
 /**
- * One gateway, put together from its parts.
+ * Assembles a gateway from its components.
  */
 import { randomBytes, randomInt } from 'node:crypto';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -20,7 +20,7 @@
 import { createConnectionPool } from './backends/pool.js';
 import { createEngineCalls } from './backends/short-call.js';
 import { createGroupsPart } from './groups/groups-part.js';
-import { observeBeliefs } from './operations/beliefs.js';
+import { registerFreshnessGauges } from './operations/freshness-metrics.js';
 import { createOperationsListener } from './operations/listener.js';
 import { createGatewayMetrics } from './operations/metrics.js';
 import { createPeersPart } from './peers/peers-part.js';
@@ -32,37 +32,37 @@
 import type { GatewaySettings } from './settings.js';
 import { createObjectStore } from './store/client.js';
 import { createConfigurationPart } from './store/configuration-part.js';
-import { createContactCheck } from './store/contact-check.js';
-import { createContactKeeper } from './store/contact.js';
-import { reportDropped } from './store/dropped-items.js';
+import { createReachabilityTracker } from './store/contact.js';
+import { logDroppedItems } from './store/dropped-items.js';
 import { createFleetPart } from './store/fleet-part.js';
 import { eraOf, revisionOf } from './store/place.js';
+import { createReachabilityProbe } from './store/reachability-probe.js';
 import type {
   GatewayBoardWriters,
   GatewayContext,
   PeerLoad,
   ServingPlatform,
-  StoreContact,
+  StoreReachability,
 } from './types.js';
 
-/** A gateway that runs. */
+/** A running gateway. */
 export interface RunningGateway {
-  /** Finishes what is in flight and ends within the grace of the settings. */
+  /** Finishes the requests in flight and stops within the grace period of the settings. */
   stop(): Promise<void>;
   logger: GatewayContext['logger'];
 }
 
 const INCARNATION_BYTES = 9;
 const MAX_SEED = 2 ** 31 - 1;
-/** The balancer asks once a second and takes an instance out after two misses. */
-const BALANCER_MS: Milliseconds = 3_200;
-/** For the last answers to reach their callers, before their connections are closed. */
-const LAST_ANSWERS_MS: Milliseconds = 250;
-/** For the last lines to reach a reader that has fallen behind. */
-const LAST_LINES_MS: Milliseconds = 100;
-/** For the parts to close; the grace leaves about as much after the last answers and lines. */
-const CLOSE_MS: Milliseconds = 250;
-const PRUNE_EVERY_MS: Milliseconds = 1_000;
+/** Time within which the balancer, checking once a second, removes the instance after two failures. */
+const BALANCER_REMOVAL_MS: Milliseconds = 3_200;
+/** Lets the last responses reach their callers before connections are closed. */
+const RESPONSE_FLUSH_MS: Milliseconds = 250;
+/** Lets a slow reader receive the last log lines. */
+const LOG_FLUSH_MS: Milliseconds = 100;
+/** Limits the time for closing components and clients. */
+const CLOSE_TIMEOUT_MS: Milliseconds = 250;
+const PRUNE_INTERVAL_MS: Milliseconds = 1_000;
 
 /**
  * Starts a gateway and resolves when it listens.
@@ -76,24 +76,24 @@
   const board = createBoard();
   const context = createContext(settings, platform, board);
   const { logger, metrics, clock } = context;
-  observeBeliefs(context);
-  const contact = createContactKeeper(context, board.storeContact);
+  registerFreshnessGauges(context);
+  const reachability = createReachabilityTracker(context, board.storeContact);
   const store = createObjectStore({
     address: settings.store.address,
-    dialect: reportDropped(platform.store, logger),
+    dialect: logDroppedItems(platform.store, logger),
     timeoutMs: settings.store.timeoutMs,
     clock,
     onCall: () => {
       metrics.storeCalls.inc();
     },
     onOutcome: (outcome) => {
-      contact.record(outcome);
+      reachability.record(outcome);
     },
-    onReturnFromCopy: (era, before) => {
+    onRestore: (era, before) => {
       const revision = revisionOf(board.fleet.read().revision);
       logger.log('storeReturnedFromCopy', { era, before, revision });
       metrics.storeReturns.inc();
-      contact.recordReturn();
+      reachability.recordRestore();
       peers.announceAgain();
     },
   });
@@ -106,18 +106,18 @@
   const fleet = createFleetPart({
     context,
     store,
-    contact,
+    reachability,
     section: board.fleet,
     proof: board.fleetProof,
   });
-  contact.onDoubt((at) => {
+  reachability.onDisruption((at) => {
     configuration.follower.doubtCallsBefore(at);
     fleet.follower.doubtCallsBefore(at);
   });
-  // A peer's copy may tell of it first.
+  // A snapshot from a peer may show a restore before any call to the store does.
   board.fleet.subscribe(() => {
     const { revision } = board.fleet.read();
-    if (revision > 0) store.learnEra(eraOf(revision));
+    if (revision > 0) store.observeEra(eraOf(revision));
   });
   const pool = createConnectionPool({
     clock,
@@ -125,7 +125,7 @@
       metrics.connections.inc();
     },
   });
-  const calls = createEngineCalls({
+  const engineCalls = createEngineCalls({
     dialect: platform.orders,
     onProbe: () => {
       metrics.probes.inc();
@@ -136,9 +136,15 @@
     pool.endLife(server);
   });
   const watchdog = createWatchdog(context, backends);
-  const send = createAttemptSender(pool, platform.requests);
-  const quarantine = createQuarantine(context, calls);
-  const requestPath = createRequestPath({ context, backends, watchdog, send, quarantine });
+  const sendAttempt = createAttemptSender(pool, platform.requests);
+  const quarantine = createQuarantine(context, engineCalls);
+  const requestPath = createRequestPath({
+    context,
+    backends,
+    watchdog,
+    send: sendAttempt,
+    quarantine,
+  });
   const peers = createPeersPart({
     context,
     store,
@@ -149,8 +155,19 @@
     section: board.peers,
     load: board.peerLoad,
   });
-  const contactCheck = createContactCheck({ context, store, contact, kind: GATEWAY_KIND });
-  const groups = createGroupsPart({ context, store, calls, backends, contact });
+  const reachabilityProbe = createReachabilityProbe({
+    context,
+    store,
+    reachability,
+    kind: GATEWAY_KIND,
+  });
+  const groups = createGroupsPart({
+    context,
+    store,
+    calls: engineCalls,
+    backends,
+    contact: reachability,
+  });
   watchdog.onPause(() => {
     groups.releaseAll();
   });
@@ -160,16 +177,16 @@
     if (board.fleet.read().revision === 0) return 'it knows no backend servers yet';
     return undefined;
   });
-  const pruning = setInterval(() => {
+  const pruneTimer = setInterval(() => {
     const { servers } = board.fleet.read();
     pool.prune((id) => servers.has(id));
-  }, PRUNE_EVERY_MS);
+  }, PRUNE_INTERVAL_MS);
 
   const listening = await requestPath.listen();
   if (listening.isErr()) logger.log('listenFailed', { reason: listening.error.message });
   const peersListening = await peers.listen();
   if (peersListening.isErr()) logger.log('listenFailed', { reason: peersListening.error.message });
-  const parts = [operations, configuration, fleet, watchdog, peers, groups, contactCheck];
+  const parts = [operations, configuration, fleet, watchdog, peers, groups, reachabilityProbe];
   for (const part of parts) part.start();
   logger.log('gatewayStarted', {
     callers: settings.listen.callers,
@@ -183,29 +200,29 @@
       const plan = planStop(startedAt, settings.stopping.graceMs);
       board.stop.write(plan);
       logger.log('gatewayStopping', { inFlight: requestPath.inFlight() });
-      const drained = Promise.allSettled([
+      const draining = Promise.allSettled([
         groups.stop(),
-        requestPath.drain(BALANCER_MS),
+        requestPath.drain(BALANCER_REMOVAL_MS),
         peers.announceStop(),
       ]);
-      await Promise.race([drained, sleep(plan.lastAnswerAt - startedAt)]);
-      const unfinished = requestPath.inFlight();
+      await Promise.race([draining, sleep(plan.lastAnswerAt - startedAt)]);
+      const unfinishedCount = requestPath.inFlight();
       requestPath.endAll();
-      await Promise.race([drained, sleep(LAST_ANSWERS_MS)]);
+      await Promise.race([draining, sleep(RESPONSE_FLUSH_MS)]);
       logger.log('gatewayStopped', {
-        inFlight: unfinished,
+        inFlight: unfinishedCount,
         tookMs: Math.round(clock.now() - startedAt),
       });
-      clearInterval(pruning);
+      clearInterval(pruneTimer);
       requestPath.close();
-      const closed = Promise.allSettled([
+      const closing = Promise.allSettled([
         ...parts.map((part) => part.stop()),
         store.close(),
         pool.close(),
-        calls.close(),
+        engineCalls.close(),
       ]);
-      await Promise.race([closed, sleep(CLOSE_MS)]);
-      await logger.flush(LAST_LINES_MS);
+      await Promise.race([closing, sleep(CLOSE_TIMEOUT_MS)]);
+      await logger.flush(LOG_FLUSH_MS);
     },
   };
 }
@@ -216,7 +233,7 @@
     configurationProof: createSection<Proof | undefined>(undefined),
     fleet: createSection<ServingFleet>(EMPTY_FLEET),
     fleetProof: createSection<Proof | undefined>(undefined),
-    storeContact: createSection<StoreContact>({ reachable: false, since: 0 }),
+    storeContact: createSection<StoreReachability>({ reachable: false, since: 0 }),
     peers: createSection<ReadonlyMap<string, GatewayPeer>>(new Map()),
     peerLoad: createSection<PeerLoad>({ byServer: new Map(), unheard: 0, isLate: false }),
     stop: createSection<StopPlan | undefined>(undefined),
