--- a/features/gateway/peering-model.ts
+++ b/features/gateway/peering-model.ts
@@ -1,5 +1,5 @@
 /**
- * Gateways that exchange digests in a simulated time, without sockets.
+ * Simulates gateways that exchange digests, without a network and on a simulated clock.
  */
 import {
   collectReports,
@@ -9,45 +9,45 @@
 } from '../../src/controllers/peering/index.js';
 import type { RequestReport } from '../../src/controllers/quarantine/index.js';
 
-/** One gateway of the model. */
+/** A simulated gateway. */
 export class ModelGateway {
   table: PeerTable;
   isAlive = true;
   exchanges = 0;
-  /** Names of those it can't reach, and that can't reach it. */
-  readonly cutFrom = new Set<string>();
+  /** Names of the gateways that it can't reach and that can't reach it. */
+  readonly unreachable = new Set<string>();
   storeReachable = true;
-  /** What it tells of requests under which servers ended. */
+  /** The request reports that it includes in its digests. */
   reports: RequestReport[] = [];
-  /** Servers that it knows to have ended under requests. */
+  /** Servers that other gateways reported to have ended while handling a request. */
   readonly endsHeard = new Set<string>();
-  private life = 0;
+  private incarnation = 0;
 
   constructor(
     readonly name: string,
     readonly failureDomain: string,
     readonly load: [string, number][],
   ) {
-    this.table = new PeerTable(this.place);
+    this.table = new PeerTable(this.location);
   }
 
-  get place(): { name: string; address: string; failureDomain: string } {
+  get location(): { name: string; address: string; failureDomain: string } {
     const { name, failureDomain } = this;
     return { name, address: `at-${name}`, failureDomain };
   }
 
-  /** A new life that knows only `seeds`. */
+  /** Restarts the gateway with a new incarnation that knows only `seeds`. */
   restart(seeds: readonly ModelGateway[], now: number): void {
-    this.life += 1;
+    this.incarnation += 1;
     this.isAlive = true;
-    this.table = new PeerTable(this.place);
-    for (const { place } of seeds) this.table.learn(place, now);
+    this.table = new PeerTable(this.location);
+    for (const { location } of seeds) this.table.learn(location, now);
   }
 
-  digest(): Digest {
+  createDigest(): Digest {
     return {
-      ...this.place,
-      incarnation: String(this.life),
+      ...this.location,
+      incarnation: String(this.incarnation),
       storeReachable: this.storeReachable,
       stopping: false,
       hasServed: true,
@@ -59,21 +59,21 @@
     };
   }
 
-  take(digest: Digest, now: number): void {
+  applyDigest(digest: Digest, now: number): void {
     this.table.take(digest, now);
     for (const report of collectReports(digest)) {
       if (report.kind === 'serverEnded') this.endsHeard.add(report.server);
     }
   }
 
-  /** The digest with what it tells of others. */
-  answer(now: number, caller?: Digest): Digest {
-    const own = this.digest();
+  /** The own digest with domain summaries. */
+  createExchangeDigest(now: number, caller?: Digest): Digest {
+    const own = this.createDigest();
     return { ...own, summaries: this.table.listSummaries(own, now, caller) };
   }
 }
 
-/** All gateways of one run, all with one clock. */
+/** A simulated fleet with a shared clock. */
 export class PeeringModel {
   now = 0;
   readonly gateways: ModelGateway[] = [];
@@ -87,39 +87,40 @@
     for (const gateway of this.gateways) gateway.restart(this.gateways, 0);
   }
 
-  get living(): ModelGateway[] {
+  get alive(): ModelGateway[] {
     return this.gateways.filter(({ isAlive }) => isAlive);
   }
 
-  /** Lets `ms` pass. */
+  /** Advances the clock by `ms`. */
   run(ms: number): void {
     const until = this.now + ms;
     while (this.now < until) {
       this.now += PEERING_TICK_MS;
-      for (const gateway of this.living) gateway.table.dropSilent(this.now);
-      for (const gateway of this.living) this.call(gateway);
+      for (const gateway of this.alive) gateway.table.dropSilent(this.now);
+      for (const gateway of this.alive) this.runDueExchanges(gateway);
     }
   }
 
-  private call(gateway: ModelGateway): void {
-    for (const { name } of gateway.table.listDue(this.now)) {
+  private runDueExchanges(gateway: ModelGateway): void {
+    for (const { name } of gateway.table.listDuePeers(this.now)) {
       const other = this.gateways.find((each) => each.name === name);
-      if (!other?.isAlive || gateway.cutFrom.has(name) || other.cutFrom.has(gateway.name)) continue;
+      if (!other?.isAlive || gateway.unreachable.has(name) || other.unreachable.has(gateway.name))
+        continue;
       gateway.exchanges += 1;
       other.exchanges += 1;
-      const digest = gateway.answer(this.now);
-      other.take(digest, this.now);
-      gateway.take(other.answer(this.now, digest), this.now);
+      const digest = gateway.createExchangeDigest(this.now);
+      other.applyDigest(digest, this.now);
+      gateway.applyDigest(other.createExchangeDigest(this.now, digest), this.now);
     }
   }
 
-  /** The names of those that `gateway` holds for alive. */
-  aliveAt({ table }: ModelGateway): string[] {
+  /** Names of the peers that `gateway` considers alive. */
+  listAlivePeers({ table }: ModelGateway): string[] {
     return [...table.listAlive(this.now).keys()].sort();
   }
 
   hubsOf(domain: string): string[] {
-    return this.living
+    return this.alive
       .filter(({ failureDomain, table }) => failureDomain === domain && table.isHub())
       .map(({ name }) => name);
   }
--- a/features/gateway/peering.steps.ts
+++ b/features/gateway/peering.steps.ts
@@ -1,5 +1,5 @@
 /**
- * How gateways know each other, on a model without sockets.
+ * Peer discovery and digest exchange, on a simulated fleet without network.
  */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
@@ -14,9 +14,9 @@
 
 const SEED = 2_212;
 const RUNS = 25;
-const HEARS_EVERY_MS = 100;
-const LONGEST_LAG_MS = 10_000;
-/** Time in which a fleet settles after the last change: both silences, and the rounds after them. */
+const FLEET_UPDATE_INTERVAL_MS = 100;
+const MAX_LAG_MS = 10_000;
+/** Time for a fleet to converge after the last change: both peer timeouts plus a few exchanges. */
 const SETTLE_MS = 9_000;
 
 Given(
@@ -30,72 +30,72 @@
   this.model.run(ms);
 });
 
-When('the gateways that answer for their failure domains die', function (this: PeeringWorld) {
+When('all hubs crash', function (this: PeeringWorld) {
   for (const gateway of listHubs(this.model)) gateway.isAlive = false;
 });
 
-When(
-  'the gateways that answer for their failure domains are cut off from the store',
-  function (this: PeeringWorld) {
-    for (const gateway of listHubs(this.model)) gateway.storeReachable = false;
-  },
-);
+When('all hubs lose their connection to the store', function (this: PeeringWorld) {
+  for (const gateway of listHubs(this.model)) gateway.storeReachable = false;
+});
 
-Then('each of them knows that all others live', function (this: PeeringWorld) {
-  checkAlive(this.model);
+Then('each gateway considers all others alive', function (this: PeeringWorld) {
+  assertAllAliveKnown(this.model);
 });
 
-Then('each of them knows the load of all others', function (this: PeeringWorld) {
-  const { living } = this.model;
-  for (const gateway of living) {
+Then('each gateway knows the load of all others', function (this: PeeringWorld) {
+  const { alive } = this.model;
+  for (const gateway of alive) {
     const expected = new Map<string, number>();
-    for (const other of living) if (other !== gateway) addLoad(expected, other.load);
-    assert.deepEqual(sorted(gateway.table.sumLoad()), sorted(expected), gateway.name);
+    for (const other of alive) if (other !== gateway) addLoad(expected, other.load);
+    assert.deepEqual(sortByServer(gateway.table.sumLoad()), sortByServer(expected), gateway.name);
   }
 });
 
-Then('one of them answers for each failure domain', function (this: PeeringWorld) {
-  const { living } = this.model;
-  for (const domain of new Set(living.map(({ failureDomain }) => failureDomain))) {
+Then('each failure domain has one hub', function (this: PeeringWorld) {
+  const { alive } = this.model;
+  for (const domain of new Set(alive.map(({ failureDomain }) => failureDomain))) {
     assert.equal(this.model.hubsOf(domain).length, 1, domain);
   }
 });
 
 Then(
-  'over {int} ms none has more than {int} exchanges a second, and on average they have at most {int}',
-  function (this: PeeringWorld, ms: number, most: number, mean: number) {
-    const { living } = this.model;
-    for (const gateway of living) gateway.exchanges = 0;
+  'over {int} ms no gateway has more than {int} exchanges per second, and the average is at most {int}',
+  function (this: PeeringWorld, ms: number, maxRate: number, maxAverage: number) {
+    const { alive } = this.model;
+    for (const gateway of alive) gateway.exchanges = 0;
     this.model.run(ms);
-    const rates = living.map(({ exchanges }) => (exchanges * 1_000) / ms);
-    assert.ok(Math.max(...rates) <= most, `${Math.max(...rates)} a second at one`);
+    const rates = alive.map(({ exchanges }) => (exchanges * 1_000) / ms);
+    assert.ok(
+      Math.max(...rates) <= maxRate,
+      `${Math.max(...rates)} exchanges per second at one gateway`,
+    );
     const average = rates.reduce((sum, rate) => sum + rate, 0) / rates.length;
-    assert.ok(average <= mean, `${average} a second on average`);
+    assert.ok(average <= maxAverage, `${average} exchanges per second on average`);
   },
 );
 
-Then('none of them relies on a gateway that is dead', function (this: PeeringWorld) {
-  checkReliance(this.model);
+Then('no gateway relies on a crashed hub', function (this: PeeringWorld) {
+  assertNoHubTrusted(this.model);
 });
 
 Then(
-  'none of them relies on a gateway that is cut off from the store',
+  'no gateway relies on a hub that is disconnected from the store',
   function (this: PeeringWorld) {
-    checkReliance(this.model);
+    assertNoHubTrusted(this.model);
   },
 );
 
 Given(
-  'a gateway that hears of the servers every {int} ms and is behind in the configuration',
-  function (this: PeeringWorld, everyMs: number) {
-    this.lateAfterMs = findLateAfter(everyMs, 0);
+  'a gateway that receives fleet updates every {int} ms and has an outdated configuration',
+  function (this: PeeringWorld, updateIntervalMs: number) {
+    this.lateAfterMs = measureLateAfterMs(updateIntervalMs, 0);
   },
 );
 
 Given(
-  'a gateway that is behind in the configuration and reads it every {int} ms',
-  function (this: PeeringWorld, readEveryMs: number) {
-    this.lateAfterMs = findLateAfter(HEARS_EVERY_MS, readEveryMs);
+  'a gateway that has an outdated configuration and reads it every {int} ms',
+  function (this: PeeringWorld, readIntervalMs: number) {
+    this.lateAfterMs = measureLateAfterMs(FLEET_UPDATE_INTERVAL_MS, readIntervalMs);
   },
 );
 
@@ -106,13 +106,13 @@
   },
 );
 
-/** When one that hears of the servers all the while, and of a newer configuration, counts as late. */
-function findLateAfter(everyMs: number, readEveryMs: number): number | undefined {
-  const lag = new LagTracker(readEveryMs);
-  for (let now = 0; now < LONGEST_LAG_MS; now += everyMs) {
+/** Time until a gateway with an outdated configuration but current fleet updates counts as late. */
+function measureLateAfterMs(updateIntervalMs: number, readIntervalMs: number): number | undefined {
+  const lag = new LagTracker(readIntervalMs);
+  for (let now = 0; now < MAX_LAG_MS; now += updateIntervalMs) {
     const own = { configurationVersion: 1, fleetRevision: now + 1 };
-    const known = { configurationVersion: 2, fleetRevision: now + 2 };
-    if (lag.isLate(own, known, now)) return now;
+    const newest = { configurationVersion: 2, fleetRevision: now + 2 };
+    if (lag.isLate(own, newest, now)) return now;
   }
   return undefined;
 }
@@ -124,10 +124,10 @@
   },
 );
 
-Then('after any deaths and returns all that live know each other again', () => {
+Then('after random crashes and restarts all running gateways know each other again', () => {
   const event = fc.record({
     at: fc.nat({ max: 23 }),
-    kind: fc.constantFrom('dies', 'returns', 'passes'),
+    kind: fc.constantFrom('crash', 'restart', 'wait'),
     ms: fc.integer({ min: 100, max: 3_000 }),
   });
   const property = fc.property(fc.array(event, { maxLength: 12 }), (events) => {
@@ -135,37 +135,37 @@
     model.run(3_000);
     for (const { at, kind, ms } of events) {
       const gateway = model.gateways[at];
-      if (kind === 'dies' && gateway && model.living.length > 1) gateway.isAlive = false;
-      // Its seeds are the first three; the store lists all that ever announced themselves.
-      if (kind === 'returns') gateway?.restart(model.gateways, model.now);
+      if (kind === 'crash' && gateway && model.alive.length > 1) gateway.isAlive = false;
+      // The store lists every gateway that ever registered.
+      if (kind === 'restart') gateway?.restart(model.gateways, model.now);
       model.run(ms);
     }
     model.run(SETTLE_MS);
-    checkAlive(model);
+    assertAllAliveKnown(model);
   });
   fc.assert(property, { seed: SEED, numRuns: RUNS });
 });
 
-function listHubs({ living }: PeeringModel): ModelGateway[] {
-  return living.filter(({ table }) => table.isHub());
+function listHubs({ alive }: PeeringModel): ModelGateway[] {
+  return alive.filter(({ table }) => table.isHub());
 }
 
-function checkAlive(model: PeeringModel): void {
-  const names = model.living.map(({ name }) => name).sort();
-  for (const gateway of model.living) {
+function assertAllAliveKnown(model: PeeringModel): void {
+  const names = model.alive.map(({ name }) => name).sort();
+  for (const gateway of model.alive) {
     const others = names.filter((name) => name !== gateway.name);
-    assert.deepEqual(model.aliveAt(gateway), others, gateway.name);
+    assert.deepEqual(model.listAlivePeers(gateway), others, gateway.name);
   }
 }
 
-/** Whoever trusts its hub has one that lives and reaches the store; a hub relies on nobody. */
-function checkReliance(model: PeeringModel): void {
-  for (const { name, table } of model.living) {
+/** Checks that no member trusts its hub. A hub relies on no other gateway. */
+function assertNoHubTrusted(model: PeeringModel): void {
+  for (const { name, table } of model.alive) {
     if (table.isHub()) continue;
-    assert.notEqual(table.judgeHub(model.now), 'trusted', name);
+    assert.notEqual(table.hubStatus(model.now), 'trusted', name);
   }
 }
 
-function sorted(load: ReadonlyMap<string, number>): [string, number][] {
+function sortByServer(load: ReadonlyMap<string, number>): [string, number][] {
   return [...load].sort(([a], [b]) => (a < b ? -1 : 1));
 }
--- a/src/controllers/peering/lag.ts
+++ b/src/controllers/peering/lag.ts
@@ -1,70 +1,67 @@
 /**
- * Telling a gateway that is late from one whose news are on their way.
+ * Detects a gateway whose state lags behind that of its peers.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 
-/** A peer is this long ahead before its news are fetched: usually they are on their way already. */
-const LATE_AFTER_MS: Milliseconds = 350;
+/** Time allowed for an update to arrive on the regular path. */
+const LAG_TOLERANCE_MS: Milliseconds = 350;
 
-/** Version and revision of a gateway that has heard of none since its start. */
-const NOTHING = 0;
+/** Version or revision of a gateway that has received none since its start. */
+const NO_VERSION = 0;
 
-/** What a gateway has in force. */
+/** Versions of the state that a gateway has applied. */
 export interface Versions {
   configurationVersion: number;
   fleetRevision: number;
 }
 
-/** How long one of the two has been behind without any news of its own. */
-class Lag {
-  private since: Milliseconds | undefined;
-  private at: number | undefined;
+/** Measures how long one version has been behind without advancing. */
+class LagTimer {
+  private behindSince: Milliseconds | undefined;
+  private lastSeen: number | undefined;
 
-  constructor(private readonly lateAfterMs: Milliseconds) {}
+  constructor(private readonly toleranceMs: Milliseconds) {}
 
   /**
-   * Whether `own` has stood still for too long below `known`. One that has nothing is late at once:
-   * it refuses all callers, and the store's news, 20 ms after a start, come before any of a peer's.
+   * Whether `own` has been below `newest` for too long without advancing. A gateway without any state
+   * is late at once, because it has to refuse all requests.
    */
-  isLate(own: number, known: number, now: Milliseconds): boolean {
-    if (own === NOTHING) return known > NOTHING;
-    if (own !== this.at) this.since = undefined;
-    this.at = own;
-    if (known <= own) {
-      this.since = undefined;
+  isLate(own: number, newest: number, now: Milliseconds): boolean {
+    if (own === NO_VERSION) return newest > NO_VERSION;
+    if (own !== this.lastSeen) this.behindSince = undefined;
+    this.lastSeen = own;
+    if (newest <= own) {
+      this.behindSince = undefined;
       return false;
     }
-    this.since ??= now;
-    return now - this.since >= this.lateAfterMs;
+    this.behindSince ??= now;
+    return now - this.behindSince >= this.toleranceMs;
   }
 }
 
 /**
- * The lag of one gateway. Changed in place, owned by one shell.
+ * Tracks the lag of one gateway. Mutable, with a single owner.
  *
- * Guards against a connection to the store that has gone silent: nothing ends it, and news of the
- * backend servers, which come another way, must not hide that the configuration stands still.
+ * Configuration and fleet are tracked separately: if a store connection hangs, one of them may stop
+ * advancing while the other is still updated.
  */
 export class LagTracker {
-  private readonly configuration: Lag;
-  private readonly fleet = new Lag(LATE_AFTER_MS);
+  private readonly configuration: LagTimer;
+  private readonly fleet = new LagTimer(LAG_TOLERANCE_MS);
 
-  /**
-   * Guards against a gateway that waits for its turn to read the configuration counting as late: it
-   * would fetch each version from a peer, and follow the store itself for seconds after it.
-   */
-  constructor(configurationReadEveryMs: Milliseconds) {
-    this.configuration = new Lag(LATE_AFTER_MS + configurationReadEveryMs);
+  /** A gateway that is waiting for its next scheduled read of the configuration is not late. */
+  constructor(configurationReadIntervalMs: Milliseconds) {
+    this.configuration = new LagTimer(LAG_TOLERANCE_MS + configurationReadIntervalMs);
   }
 
-  /** Whether `own` is late against the newest that others know; to be asked in every round. */
-  isLate(own: Versions, known: Versions, now: Milliseconds): boolean {
+  /** Whether `own` lags behind the `newest` versions of the peers. Has to be called on every tick. */
+  isLate(own: Versions, newest: Versions, now: Milliseconds): boolean {
     const isConfigurationLate = this.configuration.isLate(
       own.configurationVersion,
-      known.configurationVersion,
+      newest.configurationVersion,
       now,
     );
-    const isFleetLate = this.fleet.isLate(own.fleetRevision, known.fleetRevision, now);
+    const isFleetLate = this.fleet.isLate(own.fleetRevision, newest.fleetRevision, now);
     return isConfigurationLate || isFleetLate;
   }
 }
--- a/src/controllers/peering/peer-table.ts
+++ b/src/controllers/peering/peer-table.ts
@@ -1,105 +1,101 @@
 /**
- * Who the other gateways are, whom of them to call, and what they do at the backend servers.
+ * Tracks the other gateways, their load on the backend servers, and which of them to call next.
  *
- * A few gateways exchange digests pairwise. In a larger fleet that would take more of each instance
- * with every gateway that is added, so each calls one gateway of its failure domain, the hub, which
- * answers for all domains; hubs exchange summaries of their domains. The hub is the first by
- * rendezvous among those that answer, so that no election is needed: when it falls silent, all
- * who notice turn to the same next one.
+ * In a small fleet, all gateways exchange digests pairwise. In a larger one, each gateway calls only
+ * the hub of its failure domain, and hubs exchange summaries of their domains, which keeps the cost
+ * per gateway independent of the fleet size. The hub is chosen by rendezvous hashing among the
+ * responsive gateways, so that all members fail over to the same successor without an election.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import { addLoad } from './load.js';
 import { ageReports } from './reports.js';
 import { Roster } from './roster.js';
-import type { Digest, DomainSummary, GatewayPeer, KnownPeer, ToldSuspicion } from './types.js';
-
-/**
- * Gateways up to which all exchange pairwise, a choice: 12 in three failure domains have some 30
- * exchanges a second each at the paces below, as many as a hub has in a larger fleet.
- */
-const PAIRWISE_MOST = 12;
-/** Within a failure domain bytes are free; the load of a replica changes in some hundred ms. */
-const NEAR_EVERY_MS: Milliseconds = 200;
-/** Of a hub's members each adds this, so that a hub answers some 30 of them a second, whatever their number. */
-const NEAR_EVERY_MS_PER_MEMBER: Milliseconds = 30;
-/** Between failure domains bytes are dear, and requests seldom go there. */
-const FAR_EVERY_MS: Milliseconds = 600;
-/** Periods without a call after which the other side calls. */
-const TAKE_OVER_PERIODS = 2;
-/** Exchanges in a row that a hub may miss before others stop relying on it. */
-const MISSED_EXCHANGES = 3;
-/** How often {@link PeerTable.listDue} is asked. */
+import type { Digest, DomainSummary, GatewayPeer, KnownPeer, ReportedSuspicion } from './types.js';
+
+/** Largest fleet in which all gateways exchange digests pairwise. */
+const MAX_PAIRWISE_GATEWAYS = 12;
+/** Exchange interval within a failure domain, where traffic is free. */
+const DOMAIN_INTERVAL_MS: Milliseconds = 200;
+/** Minimum interval per domain member, which caps a hub's exchange rate in large domains. */
+const DOMAIN_INTERVAL_MS_PER_MEMBER: Milliseconds = 30;
+/** Exchange interval between failure domains, where traffic is billed. */
+const CROSS_DOMAIN_INTERVAL_MS: Milliseconds = 600;
+/** Intervals without a call after which the other side calls. */
+const TAKEOVER_INTERVALS = 2;
+/** Consecutive exchanges that a hub may miss before its members stop relying on it. */
+const MAX_MISSED_EXCHANGES = 3;
+/** Interval at which {@link PeerTable.listDuePeers} is called. */
 export const PEERING_TICK_MS: Milliseconds = 100;
-/** Three digests of the slower pace missed. */
-const SILENT_AFTER_MS: Milliseconds = 2_000;
-/** Word of a gateway in another failure domain comes over two hubs. */
-const FAR_SILENT_AFTER_MS: Milliseconds = 3_500;
+/** Allows for three missed exchanges at the cross-domain interval. */
+const PEER_TIMEOUT_MS: Milliseconds = 2_000;
+/** Longer than {@link PEER_TIMEOUT_MS}, because the state is forwarded by two hubs. */
+const CROSS_DOMAIN_PEER_TIMEOUT_MS: Milliseconds = 3_500;
 
-/** A digest of another gateway, kept as it came. */
-export interface HeardDigest {
+/** The last digest received from another gateway. */
+export interface ReceivedDigest {
   digest: Digest;
-  heardAt: Milliseconds;
+  receivedAt: Milliseconds;
 }
 
-/** A summary that another gateway made. */
-interface HeardSummary {
+/** The last summary received for a failure domain. */
+interface ReceivedSummary {
   summary: DomainSummary;
-  /** When it was made, by this process's clock. */
-  madeAt: Milliseconds;
+  /** Creation time of the summary on the local clock. */
+  createdAt: Milliseconds;
 }
 
-/** A gateway that is heard no more. */
-export interface Silence {
+/** A gateway that is no longer considered alive. */
+export interface TimedOutPeer {
   peer: string;
   silentMs: Milliseconds;
 }
 
-/** What one gateway knows of all others. Changed in place, owned by one shell. */
+/** One gateway's view of all others. Mutable, with a single owner. */
 export class PeerTable {
   private readonly roster: Roster;
-  private readonly digests = new Map<string, HeardDigest>();
-  /** What those that are stopping said last; they count among the living no more. */
-  private readonly stopping = new Map<string, HeardDigest>();
-  private readonly summaries = new Map<string, HeardSummary>();
-  private readonly dueAt = new Map<string, Milliseconds>();
-  /** Those that were called and have not answered yet, with the first such call. */
-  private readonly triedAt = new Map<string, Milliseconds>();
-  /** Those that lived at the last {@link dropSilent}. */
+  private readonly digests = new Map<string, ReceivedDigest>();
+  /** Last digests of gateways that are stopping and no longer count as alive. */
+  private readonly stopping = new Map<string, ReceivedDigest>();
+  private readonly summaries = new Map<string, ReceivedSummary>();
+  private readonly nextExchangeAt = new Map<string, Milliseconds>();
+  /** Time of the first unanswered call to each gateway that was never heard from. */
+  private readonly unansweredSince = new Map<string, Milliseconds>();
+  /** Gateways that were alive at the last {@link dropSilent}. */
   private alive: ReadonlyMap<string, GatewayPeer> = new Map();
 
   constructor(private readonly self: KnownPeer) {
     this.roster = new Roster(self);
   }
 
-  /** Adds a gateway to call. One whose name is not known yet goes by its address. */
+  /** Adds or updates a gateway. A seed is named by its address until it reports its own name. */
   learn(peer: KnownPeer, now: Milliseconds): void {
-    this.roster.learn(peer, now);
+    this.roster.upsert(peer, now);
   }
 
-  /** Takes what another gateway said; the suspicions in it are for the caller to judge. */
-  take(digest: Digest, now: Milliseconds): ToldSuspicion[] {
+  /** Applies a received digest. Returns the suspicions in it for the caller to evaluate. */
+  take(digest: Digest, now: Milliseconds): ReportedSuspicion[] {
     if (digest.name === this.self.name) return [];
     this.learn(digest, now);
     digest.known?.forEach((peer) => {
       this.learn(peer, now);
     });
     this.roster.markHeard(digest.name, now);
-    this.triedAt.delete(digest.name);
-    this.roster.setSilent(digest.name, false);
+    this.unansweredSince.delete(digest.name);
+    this.roster.setUnresponsive(digest.name, false);
     const [from, to] = digest.stopping
       ? [this.digests, this.stopping]
       : [this.stopping, this.digests];
     from.delete(digest.name);
-    to.set(digest.name, { digest, heardAt: now });
-    const told = (digest.summaries ?? []).map((summary) => this.takeSummary(summary, now));
-    return [...digest.suspicions, ...told.flat()];
+    to.set(digest.name, { digest, receivedAt: now });
+    const forwarded = (digest.summaries ?? []).map((summary) => this.applySummary(summary, now));
+    return [...digest.suspicions, ...forwarded.flat()];
   }
 
-  private takeSummary(summary: DomainSummary, now: Milliseconds): ToldSuspicion[] {
-    const madeAt = now - summary.ageMs;
+  private applySummary(summary: DomainSummary, now: Milliseconds): ReportedSuspicion[] {
+    const createdAt = now - summary.ageMs;
     const before = this.summaries.get(summary.failureDomain);
-    if (before && before.madeAt >= madeAt) return [];
-    this.summaries.set(summary.failureDomain, { summary, madeAt });
+    if (before && before.createdAt >= createdAt) return [];
+    this.summaries.set(summary.failureDomain, { summary, createdAt });
     const { failureDomain } = summary;
     for (const { name, address } of summary.members) {
       this.learn({ name, address, failureDomain }, now);
@@ -107,244 +103,264 @@
     return summary.suspicions;
   }
 
-  /** Drops those that were silent too long; returns those that lived at the last call. */
-  dropSilent(now: Milliseconds): Silence[] {
-    for (const [peer, { heardAt }] of this.digests) {
-      if (now - heardAt <= SILENT_AFTER_MS) continue;
+  /** Removes gateways that timed out. Returns those that were alive at the last call. */
+  dropSilent(now: Milliseconds): TimedOutPeer[] {
+    for (const [peer, { receivedAt }] of this.digests) {
+      if (now - receivedAt <= PEER_TIMEOUT_MS) continue;
       this.digests.delete(peer);
-      this.roster.setSilent(peer, true);
+      this.roster.setUnresponsive(peer, true);
     }
-    for (const [peer, { heardAt }] of this.stopping) {
-      if (now - heardAt > SILENT_AFTER_MS) this.stopping.delete(peer);
+    for (const [peer, { receivedAt }] of this.stopping) {
+      if (now - receivedAt > PEER_TIMEOUT_MS) this.stopping.delete(peer);
     }
-    for (const [peer, at] of this.triedAt) {
-      if (now - at > SILENT_AFTER_MS && !this.digests.has(peer)) this.roster.setSilent(peer, true);
+    for (const [peer, since] of this.unansweredSince) {
+      if (now - since > PEER_TIMEOUT_MS && !this.digests.has(peer))
+        this.roster.setUnresponsive(peer, true);
     }
-    for (const [domain, { madeAt }] of this.summaries) {
-      if (now - madeAt > this.silentAfter(domain)) this.summaries.delete(domain);
+    for (const [domain, { createdAt }] of this.summaries) {
+      if (now - createdAt > this.peerTimeout(domain)) this.summaries.delete(domain);
     }
     const before = this.alive;
     this.alive = this.listAlive(now);
     for (const name of this.alive.keys()) this.roster.markHeard(name, now);
-    this.forget(now);
+    this.removeStalePeers(now);
     return [...before.values()]
       .filter(({ name }) => !this.alive.has(name))
-      .map(({ name, heardAt }) => ({ peer: name, silentMs: now - heardAt }));
+      .map(({ name, lastHeardAt }) => ({ peer: name, silentMs: now - lastHeardAt }));
   }
 
-  private forget(now: Milliseconds): void {
-    for (const name of this.roster.forget(now)) {
-      this.dueAt.delete(name);
-      this.triedAt.delete(name);
+  private removeStalePeers(now: Milliseconds): void {
+    for (const name of this.roster.removeStale(now)) {
+      this.nextExchangeAt.delete(name);
+      this.unansweredSince.delete(name);
     }
   }
 
-  /** All others that live, by name. */
+  /** All other gateways that are alive, by name. */
   listAlive(now: Milliseconds): ReadonlyMap<string, GatewayPeer> {
     const alive = new Map<string, GatewayPeer>();
-    for (const { summary, madeAt } of this.summaries.values()) {
+    for (const { summary, createdAt } of this.summaries.values()) {
       const { failureDomain, hasServed } = summary;
       for (const { name, address, storeReachable, ageMs } of summary.members) {
-        const heardAt = madeAt - ageMs;
-        const isSilent = now - heardAt > this.silentAfter(failureDomain);
-        if (name === this.self.name || isSilent) continue;
-        alive.set(name, { name, address, failureDomain, heardAt, storeReachable, hasServed });
+        const lastHeardAt = createdAt - ageMs;
+        const isTimedOut = now - lastHeardAt > this.peerTimeout(failureDomain);
+        if (name === this.self.name || isTimedOut) continue;
+        alive.set(name, {
+          name,
+          address,
+          failureDomain,
+          lastHeardAt,
+          storeReachable,
+          hasServed,
+        });
       }
     }
-    for (const [name, { digest, heardAt }] of this.digests) {
-      const told = alive.get(name);
-      if (told && told.heardAt >= heardAt) continue;
+    for (const [name, { digest, receivedAt }] of this.digests) {
+      const summarized = alive.get(name);
+      if (summarized && summarized.lastHeardAt >= receivedAt) continue;
       const { address, failureDomain, storeReachable, hasServed } = digest;
-      alive.set(name, { name, address, failureDomain, heardAt, storeReachable, hasServed });
+      alive.set(name, {
+        name,
+        address,
+        failureDomain,
+        lastHeardAt: receivedAt,
+        storeReachable,
+        hasServed,
+      });
     }
     return alive;
   }
 
   /**
-   * Gateways that are known and have neither been heard nor found silent, as all others are right after
-   * a start: they live, as far as is known, and their requests count in nobody's news.
+   * Counts known gateways that were neither heard from nor found unresponsive, such as all others
+   * right after a start. They are presumed alive, but their load is not included in any digest yet.
    */
   countUnheard(): number {
     const isUnheard = ({ name }: KnownPeer): boolean =>
-      !this.alive.has(name) && !this.roster.isSilent(name);
+      !this.alive.has(name) && !this.roster.isUnresponsive(name);
     return this.roster.all().filter(isUnheard).length;
   }
 
-  /** Requests of all other gateways under way, by backend server. */
+  /** Requests in flight from all other gateways, by backend server. */
   sumLoad(): ReadonlyMap<string, number> {
-    const told = this.isHub() ? undefined : this.summaries.get(this.self.failureDomain);
-    if (told) return new Map(told.summary.load);
+    const domainSummary = this.isHub() ? undefined : this.summaries.get(this.self.failureDomain);
+    if (domainSummary) return new Map(domainSummary.summary.load);
     const total = new Map<string, number>();
     for (const [domain, { summary }] of this.summaries) {
       if (domain !== this.self.failureDomain) addLoad(total, summary.load);
     }
     for (const { digest } of this.digests.values()) {
-      const isSummed = !this.isNear(digest) && this.summaries.has(digest.failureDomain);
-      if (!isSummed) addLoad(total, digest.load);
+      const isSummarized = !this.isInOwnDomain(digest) && this.summaries.has(digest.failureDomain);
+      if (!isSummarized) addLoad(total, digest.load);
     }
     return total;
   }
 
-  /** Whether this gateway answers for its failure domain. */
+  /** Whether this gateway is the hub of its failure domain. */
   isHub(): boolean {
     return this.roster.hubOf(this.self.failureDomain) === this.self.name;
   }
 
-  /** The others that this gateway should call now; each is returned once in its period. */
-  listDue(now: Milliseconds): KnownPeer[] {
+  /** Gateways to call now. Each is returned at most once per exchange interval. */
+  listDuePeers(now: Milliseconds): KnownPeer[] {
     return this.listPartners().filter((peer) => {
-      const everyMs = this.periodOf(peer);
-      const heardAt = this.digests.get(peer.name)?.heardAt ?? Number.NEGATIVE_INFINITY;
-      // An exchange tells both sides: one of them calls, the other only when that one is silent.
-      const waitMs = this.isCaller(peer) ? everyMs : TAKE_OVER_PERIODS * everyMs;
-      if (now < (this.dueAt.get(peer.name) ?? 0)) return false;
-      if (now - heardAt < waitMs - PEERING_TICK_MS) return false;
-      this.dueAt.set(peer.name, now + everyMs);
-      if (!this.digests.has(peer.name) && !this.triedAt.has(peer.name)) {
-        this.triedAt.set(peer.name, now);
+      const intervalMs = this.exchangeInterval(peer);
+      const lastReceivedAt = this.digests.get(peer.name)?.receivedAt ?? Number.NEGATIVE_INFINITY;
+      // An exchange updates both sides, so only one of them calls unless it is overdue.
+      const waitMs = this.isInitiator(peer) ? intervalMs : TAKEOVER_INTERVALS * intervalMs;
+      if (now < (this.nextExchangeAt.get(peer.name) ?? 0)) return false;
+      if (now - lastReceivedAt < waitMs - PEERING_TICK_MS) return false;
+      this.nextExchangeAt.set(peer.name, now + intervalMs);
+      if (!this.digests.has(peer.name) && !this.unansweredSince.has(peer.name)) {
+        this.unansweredSince.set(peer.name, now);
       }
       return true;
     });
   }
 
   /**
-   * A member calls its hub: what the answer says is as young as the call, which tells how old the news
-   * of the store are. Of two others the one whose name comes first calls.
+   * Whether this gateway calls `peer` rather than the other way round. A member calls its hub, because
+   * only responses have a known age and can carry proofs. Otherwise the name that sorts first calls.
    */
-  private isCaller(peer: KnownPeer): boolean {
-    if (!this.isNear(peer)) return this.self.name < peer.name;
+  private isInitiator(peer: KnownPeer): boolean {
+    if (!this.isInOwnDomain(peer)) return this.self.name < peer.name;
     const hub = this.roster.hubOf(this.self.failureDomain);
     if (hub === this.self.name) return false;
     return hub === peer.name || this.self.name < peer.name;
   }
 
-  /** Those of this failure domain to tell at once when a backend server stands still. */
-  listNearPartners(): KnownPeer[] {
-    return this.listPartners().filter((peer) => this.isNear(peer));
+  /** Exchange partners in the same failure domain. */
+  listDomainPartners(): KnownPeer[] {
+    return this.listPartners().filter((peer) => this.isInOwnDomain(peer));
   }
 
-  /** All others that this gateway exchanges digests with. */
+  /** All gateways that this one exchanges digests with. */
   listPartners(): KnownPeer[] {
     const { roster, self } = this;
     if (this.isPairwise()) return roster.all();
-    const unnamed = roster.listUnnamed();
-    const near = roster.membersOf(self.failureDomain);
-    if (this.digests.size === 0) return [...near, ...unnamed];
+    const unresolvedSeeds = roster.listUnresolvedSeeds();
+    const domainMembers = roster.membersOf(self.failureDomain);
+    if (this.digests.size === 0) return [...domainMembers, ...unresolvedSeeds];
     const hub = roster.hubOf(self.failureDomain);
-    if (hub !== self.name) return near.filter(({ name }) => name === hub);
-    const far = roster.listDomains().filter((domain) => domain !== self.failureDomain);
-    const hubs = far.flatMap((domain) => roster.get(roster.hubOf(domain)) ?? []);
-    const unheard = near.filter(({ name }) => !this.digests.has(name));
-    return [...hubs, ...unheard, ...unnamed];
+    if (hub !== self.name) return domainMembers.filter(({ name }) => name === hub);
+    const otherDomains = roster.listDomains().filter((domain) => domain !== self.failureDomain);
+    const hubs = otherDomains.flatMap((domain) => roster.get(roster.hubOf(domain)) ?? []);
+    const unheard = domainMembers.filter(({ name }) => !this.digests.has(name));
+    return [...hubs, ...unheard, ...unresolvedSeeds];
   }
 
   /**
-   * Those heard directly that may tell what this gateway has missed, with what they said last: the
-   * living, and one that is stopping while none of these has as new a configuration.
-   *
-   * Guards against a gateway that starts while the store is away and all who know the configuration
-   * are stopping: it would refuse every caller until the store's return. A stop takes seconds, and
-   * whoever stops answers other gateways to its end.
+   * Last digests of the gateways to catch up from: those that are alive, and those that are stopping
+   * if their configuration is newer. Stopping gateways still answer, and may be the only ones with a
+   * configuration during a store outage.
    */
-  listHeard(): readonly HeardDigest[] {
-    const living = [...this.digests.values()];
-    const newest = Math.max(0, ...living.map(({ digest }) => digest.configurationVersion));
-    const ahead = [...this.stopping.values()].filter(
+  listCatchUpSources(): readonly ReceivedDigest[] {
+    const alive = [...this.digests.values()];
+    const newest = Math.max(0, ...alive.map(({ digest }) => digest.configurationVersion));
+    const newerStopping = [...this.stopping.values()].filter(
       ({ digest }) => digest.configurationVersion > newest,
     );
-    return [...living, ...ahead];
+    return [...alive, ...newerStopping];
   }
 
-  /** All others of this failure domain that live. */
-  listNear(): KnownPeer[] {
-    return [...this.alive.values()].filter((peer) => this.isNear(peer));
+  /** All other gateways of this failure domain that are alive. */
+  listDomainPeers(): KnownPeer[] {
+    return [...this.alive.values()].filter((peer) => this.isInOwnDomain(peer));
   }
 
-  /** Whether the hub of this failure domain can be relied on for news of the store. */
-  judgeHub(now: Milliseconds): 'trusted' | 'silent' | 'cut off from the store' {
+  /** Whether the hub of this failure domain can be relied on to relay store changes. */
+  hubStatus(now: Milliseconds): 'trusted' | 'unresponsive' | 'disconnected from the store' {
     const hub = this.digests.get(this.roster.hubOf(this.self.failureDomain));
-    if (hub === undefined) return 'silent';
-    const everyMs = this.periodOf(hub.digest);
-    if (now - hub.heardAt > MISSED_EXCHANGES * everyMs) return 'silent';
-    return hub.digest.storeReachable ? 'trusted' : 'cut off from the store';
+    if (hub === undefined) return 'unresponsive';
+    const intervalMs = this.exchangeInterval(hub.digest);
+    if (now - hub.receivedAt > MAX_MISSED_EXCHANGES * intervalMs) return 'unresponsive';
+    return hub.digest.storeReachable ? 'trusted' : 'disconnected from the store';
   }
 
-  /** Gateways that another one may call from now on. */
+  /** All known gateways, for peers that ask for them. */
   listKnown(): KnownPeer[] {
     return this.roster.all();
   }
 
-  /** What this gateway tells of others to `caller`; nothing when it speaks for nobody. */
+  /**
+   * Summaries to send to `caller`, empty unless this gateway is a hub. A caller in another failure
+   * domain gets only the summary of this one.
+   */
   listSummaries(own: Digest, now: Milliseconds, caller?: Digest): DomainSummary[] {
     if (this.isPairwise() || !this.isHub()) return [];
-    const summary = this.summarise(own, now, caller);
+    const summary = this.summarizeDomain(own, now, caller);
     if (caller?.failureDomain !== this.self.failureDomain) return [summary];
-    const far = [...this.summaries.values()].filter(
-      ({ summary: told }) => told.failureDomain !== this.self.failureDomain,
+    const otherSummaries = [...this.summaries.values()].filter(
+      ({ summary: other }) => other.failureDomain !== this.self.failureDomain,
     );
     const load = new Map(summary.load);
-    for (const { summary: told } of far) addLoad(load, told.load);
-    const passed = far.map(({ summary: told, madeAt }) => ({
-      ...told,
-      ageMs: Math.round(now - madeAt),
+    for (const { summary: other } of otherSummaries) addLoad(load, other.load);
+    const forwarded = otherSummaries.map(({ summary: other, createdAt }) => ({
+      ...other,
+      ageMs: Math.round(now - createdAt),
       load: [],
-      suspicions: told.suspicions.flatMap((one) => ageSuspicion(one, now - madeAt)),
+      suspicions: other.suspicions.flatMap((each) => ageSuspicion(each, now - createdAt)),
     }));
-    return [{ ...summary, load: [...load] }, ...passed];
+    return [{ ...summary, load: [...load] }, ...forwarded];
   }
 
-  /** The own failure domain; without the load of `caller`, who knows it better. */
-  private summarise(own: Digest, now: Milliseconds, caller?: Digest): DomainSummary {
-    const near = [...this.digests.values()].filter(({ digest }) => this.isNear(digest));
+  /** Summarizes this failure domain, leaving out the load of `caller`. */
+  private summarizeDomain(own: Digest, now: Milliseconds, caller?: Digest): DomainSummary {
+    const domainDigests = [...this.digests.values()].filter(({ digest }) =>
+      this.isInOwnDomain(digest),
+    );
     const load = new Map<string, number>();
     addLoad(load, own.load);
-    for (const { digest } of near) if (digest.name !== caller?.name) addLoad(load, digest.load);
-    const members = near.map(({ digest, heardAt }) => toMember(digest, now - heardAt));
-    const suspicions = near.flatMap(({ digest, heardAt }) =>
-      digest.suspicions.flatMap((one) => ageSuspicion(one, now - heardAt)),
+    for (const { digest } of domainDigests)
+      if (digest.name !== caller?.name) addLoad(load, digest.load);
+    const members = domainDigests.map(({ digest, receivedAt }) =>
+      toSummaryMember(digest, now - receivedAt),
+    );
+    const suspicions = domainDigests.flatMap(({ digest, receivedAt }) =>
+      digest.suspicions.flatMap((each) => ageSuspicion(each, now - receivedAt)),
     );
-    const reports = near.flatMap(({ digest, heardAt }) =>
-      ageReports(digest.reports ?? [], now - heardAt),
+    const reports = domainDigests.flatMap(({ digest, receivedAt }) =>
+      ageReports(digest.reports ?? [], now - receivedAt),
     );
     const allReports = [...(own.reports ?? []), ...reports];
     return {
       failureDomain: this.self.failureDomain,
       ageMs: 0,
-      hasServed: own.hasServed || near.some(({ digest }) => digest.hasServed),
-      members: [toMember(own, 0), ...members],
+      hasServed: own.hasServed || domainDigests.some(({ digest }) => digest.hasServed),
+      members: [toSummaryMember(own, 0), ...members],
       load: [...load],
       suspicions: [...own.suspicions, ...suspicions],
       ...(allReports.length > 0 && { reports: allReports }),
     };
   }
 
-  /** Few enough that all exchange with all. */
+  /** Whether the fleet is small enough for all gateways to exchange digests pairwise. */
   isPairwise(): boolean {
-    return this.roster.size < PAIRWISE_MOST;
+    return this.roster.size < MAX_PAIRWISE_GATEWAYS;
   }
 
-  /** How often a member of this failure domain calls its hub. */
-  hubPeriod(): Milliseconds {
-    return this.periodOf(this.self);
+  /** Interval at which members of this failure domain call their hub. */
+  hubInterval(): Milliseconds {
+    return this.exchangeInterval(this.self);
   }
 
-  private periodOf(peer: KnownPeer): Milliseconds {
-    if (!this.isNear(peer)) return FAR_EVERY_MS;
-    if (this.isPairwise()) return NEAR_EVERY_MS;
+  private exchangeInterval(peer: KnownPeer): Milliseconds {
+    if (!this.isInOwnDomain(peer)) return CROSS_DOMAIN_INTERVAL_MS;
+    if (this.isPairwise()) return DOMAIN_INTERVAL_MS;
     const members = this.roster.countMembers(this.self.failureDomain);
-    return Math.max(NEAR_EVERY_MS, NEAR_EVERY_MS_PER_MEMBER * members);
+    return Math.max(DOMAIN_INTERVAL_MS, DOMAIN_INTERVAL_MS_PER_MEMBER * members);
   }
 
-  private isNear(peer: Pick<KnownPeer, 'failureDomain'> | undefined): boolean {
+  private isInOwnDomain(peer: Pick<KnownPeer, 'failureDomain'> | undefined): boolean {
     return peer?.failureDomain === this.self.failureDomain;
   }
 
-  private silentAfter(domain: string): Milliseconds {
-    return domain === this.self.failureDomain ? SILENT_AFTER_MS : FAR_SILENT_AFTER_MS;
+  private peerTimeout(domain: string): Milliseconds {
+    return domain === this.self.failureDomain ? PEER_TIMEOUT_MS : CROSS_DOMAIN_PEER_TIMEOUT_MS;
   }
 }
 
-function toMember(
+function toSummaryMember(
   { name, address, storeReachable }: Digest,
   ageMs: Milliseconds,
 ): DomainSummary['members'][number] {
@@ -352,9 +368,11 @@
 }
 
 function ageSuspicion(
-  { server, ageMs, leftMs }: ToldSuspicion,
-  passedMs: Milliseconds,
-): ToldSuspicion[] {
-  const left = Math.round(leftMs - passedMs);
-  return left > 0 ? [{ server, ageMs: Math.round(ageMs + passedMs), leftMs: left }] : [];
+  { server, ageMs, leftMs }: ReportedSuspicion,
+  elapsedMs: Milliseconds,
+): ReportedSuspicion[] {
+  const remainingMs = Math.round(leftMs - elapsedMs);
+  return remainingMs > 0
+    ? [{ server, ageMs: Math.round(ageMs + elapsedMs), leftMs: remainingMs }]
+    : [];
 }
--- a/src/controllers/peering/roster.ts
+++ b/src/controllers/peering/roster.ts
@@ -1,133 +1,133 @@
 /**
- * Which other gateways are known, by failure domain, and which of them is the hub of each.
+ * The known gateways by failure domain, and the hub of each domain.
  *
- * The members and the hub of a failure domain are asked for with every message, and change only with
- * a gateway that comes, goes or falls silent: they are kept until then, so that a message costs the same
- * in a fleet of any size.
+ * Members and hubs are looked up for every message, so both are indexed and updated only when a
+ * gateway joins, leaves or changes its responsiveness.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import { findByRendezvous } from '../membership/rendezvous.js';
 import type { KnownPeer } from './types.js';
 
-/** A gateway that was silent for this long is not called any more; it calls when it is back. */
-const FORGET_AFTER_MS: Milliseconds = 15_000;
-/** Of a seed, until it has said where it is. */
-const UNNAMED = '';
+/** Time after which a gateway that was not heard from is removed. It calls again when it returns. */
+const STALE_AFTER_MS: Milliseconds = 15_000;
+/** Failure domain of a seed until it reports its own. */
+const UNKNOWN_DOMAIN = '';
 
-/** Changed in place, owned by one peer table. */
+/** Mutable, owned by one peer table. */
 export class Roster {
-  private readonly known = new Map<string, KnownPeer>();
-  private readonly domains = new Map<string, Map<string, KnownPeer>>();
+  private readonly peers = new Map<string, KnownPeer>();
+  private readonly membersByDomain = new Map<string, Map<string, KnownPeer>>();
   private readonly lastHeard = new Map<string, Milliseconds>();
-  /** Those that do not answer, until they are heard again. */
-  private readonly silent = new Set<string>();
-  private readonly hubs = new Map<string, string>();
+  /** Gateways that don't answer, until they are heard from again. */
+  private readonly unresponsive = new Set<string>();
+  private readonly hubCache = new Map<string, string>();
 
   constructor(private readonly self: KnownPeer) {}
 
-  /** Adds a gateway to call. One whose name is not known yet goes by its address. */
-  learn({ name, address, failureDomain }: KnownPeer, now: Milliseconds): void {
+  /** Adds or updates a gateway. A seed is named by its address until it reports its own name. */
+  upsert({ name, address, failureDomain }: KnownPeer, now: Milliseconds): void {
     if (name === this.self.name || address === this.self.address) return;
     if (name !== address) this.remove(address);
-    const before = this.known.get(name);
-    if (before?.address !== address || before.failureDomain !== failureDomain) {
+    const existing = this.peers.get(name);
+    if (existing?.address !== address || existing.failureDomain !== failureDomain) {
       this.remove(name);
       this.add({ name, address, failureDomain });
     }
     if (!this.lastHeard.has(name)) this.lastHeard.set(name, now);
   }
 
-  /** `name` has said something, or another one has heard it lately. */
+  /** Records that `name` was heard from, directly or through another gateway. */
   markHeard(name: string, now: Milliseconds): void {
     this.lastHeard.set(name, now);
   }
 
-  /** Whether `name` counts as silent from now on. */
-  setSilent(name: string, isSilent: boolean): void {
-    if (this.silent.has(name) === isSilent) return;
-    if (isSilent) this.silent.add(name);
-    else this.silent.delete(name);
-    const domain = this.known.get(name)?.failureDomain;
-    if (domain !== undefined) this.hubs.delete(domain);
+  setUnresponsive(name: string, isUnresponsive: boolean): void {
+    if (this.unresponsive.has(name) === isUnresponsive) return;
+    if (isUnresponsive) this.unresponsive.add(name);
+    else this.unresponsive.delete(name);
+    const domain = this.peers.get(name)?.failureDomain;
+    if (domain !== undefined) this.hubCache.delete(domain);
   }
 
-  isSilent(name: string): boolean {
-    return this.silent.has(name);
+  isUnresponsive(name: string): boolean {
+    return this.unresponsive.has(name);
   }
 
-  /** Drops those that nobody has heard for long; returns their names. */
-  forget(now: Milliseconds): string[] {
-    const gone: string[] = [];
-    for (const [name, at] of this.lastHeard) if (now - at > FORGET_AFTER_MS) gone.push(name);
-    for (const name of gone) {
+  /** Removes gateways that were not heard from for {@link STALE_AFTER_MS}. Returns their names. */
+  removeStale(now: Milliseconds): string[] {
+    const stale: string[] = [];
+    for (const [name, at] of this.lastHeard) if (now - at > STALE_AFTER_MS) stale.push(name);
+    for (const name of stale) {
       this.lastHeard.delete(name);
       this.remove(name);
-      this.silent.delete(name);
+      this.unresponsive.delete(name);
     }
-    return gone;
+    return stale;
   }
 
   get size(): number {
-    return this.known.size;
+    return this.peers.size;
   }
 
   get(name: string): KnownPeer | undefined {
-    return this.known.get(name);
+    return this.peers.get(name);
   }
 
   all(): KnownPeer[] {
-    return [...this.known.values()];
+    return [...this.peers.values()];
   }
 
-  /** All others of a failure domain. */
+  /** All known gateways of a failure domain, without this one. */
   membersOf(domain: string): KnownPeer[] {
-    return [...(this.domains.get(domain)?.values() ?? [])];
+    return [...(this.membersByDomain.get(domain)?.values() ?? [])];
   }
 
   countMembers(domain: string): number {
-    return this.domains.get(domain)?.size ?? 0;
+    return this.membersByDomain.get(domain)?.size ?? 0;
   }
 
-  /** Seeds have no failure domain until they have said their names. */
-  listUnnamed(): KnownPeer[] {
-    return this.membersOf(UNNAMED);
+  /** Seeds that have not reported their name and failure domain yet. */
+  listUnresolvedSeeds(): KnownPeer[] {
+    return this.membersOf(UNKNOWN_DOMAIN);
   }
 
-  /** Failure domains of which a gateway is known. */
+  /** Failure domains with at least one known gateway. */
   listDomains(): string[] {
-    return [...this.domains.keys()].filter((domain) => domain !== UNNAMED);
+    return [...this.membersByDomain.keys()].filter((domain) => domain !== UNKNOWN_DOMAIN);
   }
 
   /**
-   * The first of the domain by rendezvous among those that have not been found silent. One that was
-   * never heard counts until it was called in vain: all must turn to the same one, whomever of the
-   * others they happen to have heard.
+   * The hub of the domain, by rendezvous hashing over the gateways not marked as unresponsive.
+   * Gateways that were never heard from are included until a call to them fails, so that all members
+   * choose the same hub even if they have heard from different gateways.
    */
   hubOf(domain: string): string {
-    const kept = this.hubs.get(domain);
-    if (kept !== undefined) return kept;
-    const names = this.membersOf(domain).flatMap(({ name }) => (this.silent.has(name) ? [] : name));
+    const cached = this.hubCache.get(domain);
+    if (cached !== undefined) return cached;
+    const names = this.membersOf(domain).flatMap(({ name }) =>
+      this.unresponsive.has(name) ? [] : name,
+    );
     if (domain === this.self.failureDomain) names.push(this.self.name);
     const hub = findByRendezvous(names, domain) ?? '';
-    this.hubs.set(domain, hub);
+    this.hubCache.set(domain, hub);
     return hub;
   }
 
   private add(peer: KnownPeer): void {
     const { name, failureDomain } = peer;
-    this.known.set(name, peer);
-    const members = this.domains.get(failureDomain) ?? new Map<string, KnownPeer>();
-    this.domains.set(failureDomain, members.set(name, peer));
-    this.hubs.delete(failureDomain);
+    this.peers.set(name, peer);
+    const members = this.membersByDomain.get(failureDomain) ?? new Map<string, KnownPeer>();
+    this.membersByDomain.set(failureDomain, members.set(name, peer));
+    this.hubCache.delete(failureDomain);
   }
 
   private remove(name: string): void {
-    const before = this.known.get(name);
-    if (before === undefined) return;
-    this.known.delete(name);
-    const members = this.domains.get(before.failureDomain);
+    const existing = this.peers.get(name);
+    if (existing === undefined) return;
+    this.peers.delete(name);
+    const members = this.membersByDomain.get(existing.failureDomain);
     members?.delete(name);
-    if (members?.size === 0) this.domains.delete(before.failureDomain);
-    this.hubs.delete(before.failureDomain);
+    if (members?.size === 0) this.membersByDomain.delete(existing.failureDomain);
+    this.hubCache.delete(existing.failureDomain);
   }
 }
--- a/src/controllers/peering/types.ts
+++ b/src/controllers/peering/types.ts
@@ -1,19 +1,19 @@
 /**
- * What gateways tell each other, and what is kept of it.
+ * Schemas of the digests that gateways exchange, and types derived from them.
  */
 import * as z from 'zod';
 import type { Milliseconds } from '../../core/clock/index.js';
 import { requestReportSchema, toldQuarantineSchema } from '../quarantine/index.js';
 
-const count = z.number().nonnegative();
-/** Requests under way, by backend server. */
-const loadSchema = z.array(z.tuple([z.string(), count])).max(10_000);
-/** Backend servers at which nothing moves: found how long ago, out of service for how long more. */
+const nonNegativeSchema = z.number().nonnegative();
+/** Requests in flight by backend server. */
+const loadSchema = z.array(z.tuple([z.string(), nonNegativeSchema])).max(10_000);
+/** Stalled backend servers, with the time since detection and the remaining time out of service. */
 const suspicionsSchema = z
-  .array(z.object({ server: z.string(), ageMs: count, leftMs: count }))
+  .array(z.object({ server: z.string(), ageMs: nonNegativeSchema, leftMs: nonNegativeSchema }))
   .max(10_000);
 
-/** What the sender saw lately of requests under which servers end. */
+/** Recent observations on requests that may crash backend servers. */
 const reportsSchema = z.array(requestReportSchema).max(10_000);
 
 export const knownPeerSchema = z.object({
@@ -22,26 +22,26 @@
   failureDomain: z.string(),
 });
 
-const peerNewsSchema = knownPeerSchema.extend({
+const gatewayStatusSchema = knownPeerSchema.extend({
   incarnation: z.string(),
   storeReachable: z.boolean(),
   stopping: z.boolean(),
-  /** It has had a request to forward since its start. */
+  /** Whether the gateway has had a request to forward since its start. */
   hasServed: z.boolean(),
-  configurationVersion: count,
-  fleetRevision: count,
-  /** Since the version was known to be the newest; absent when it never was. */
-  configurationAgeMs: count.optional(),
-  /** The same of the revision. */
-  fleetAgeMs: count.optional(),
+  configurationVersion: nonNegativeSchema,
+  fleetRevision: nonNegativeSchema,
+  /** Time since the version was proven to be the newest; absent if it never was. */
+  configurationAgeMs: nonNegativeSchema.optional(),
+  /** Time since the fleet revision was proven to be the newest; absent if it never was. */
+  fleetAgeMs: nonNegativeSchema.optional(),
 });
 
-/** All gateways of one failure domain, as one of them knows them. */
+/** State of all gateways of one failure domain, summarized by its hub. */
 const domainSummarySchema = z.object({
   failureDomain: z.string(),
-  /** Since the gateway that made it did so. */
-  ageMs: count,
-  /** Any of them has had a request to forward. */
+  /** Time since the summary was created. */
+  ageMs: nonNegativeSchema,
+  /** Whether any of the gateways has had a request to forward. */
   hasServed: z.boolean(),
   members: z
     .array(
@@ -49,41 +49,41 @@
         name: z.string(),
         address: z.string(),
         storeReachable: z.boolean(),
-        ageMs: count,
+        ageMs: nonNegativeSchema,
       }),
     )
     .max(1_000),
-  /** Of the domain; where it is told to a gateway of the same domain, of all others. */
+  /** Load of the domain. In a summary sent to a member of the domain, load of all other gateways. */
   load: loadSchema,
   suspicions: suspicionsSchema,
   reports: reportsSchema.optional(),
 });
 
-export const digestSchema = peerNewsSchema.extend({
+export const digestSchema = gatewayStatusSchema.extend({
   load: loadSchema,
   suspicions: suspicionsSchema,
   reports: reportsSchema.optional(),
-  /** All requests that the sender keeps from the backend servers. */
+  /** All requests that the sender has quarantined. */
   quarantined: z.array(toldQuarantineSchema).max(1_000).optional(),
-  /** Failure domains that the sender speaks for or passes on. */
+  /** Summary of the sender's failure domain, and summaries that it forwards. */
   summaries: z.array(domainSummarySchema).max(1_000).optional(),
-  /** Gateways that the sender knows; sent to those who ask. */
+  /** All gateways known to the sender, sent on request. */
   known: z.array(knownPeerSchema).max(2_000).optional(),
   asksForKnown: z.boolean().optional(),
 });
 
-/** Where another gateway is. */
+/** Name and location of a gateway. */
 export type KnownPeer = z.infer<typeof knownPeerSchema>;
-/** One gateway's news of itself, and of others where it speaks for them. */
+/** State of one gateway, plus domain summaries if it is a hub. */
 export type Digest = z.infer<typeof digestSchema>;
 export type DomainSummary = z.infer<typeof domainSummarySchema>;
-export type ToldSuspicion = DomainSummary['suspicions'][number];
+export type ReportedSuspicion = DomainSummary['suspicions'][number];
 
-/** Another gateway that lives, as far as is known. */
+/** Another gateway that is considered alive. */
 export interface GatewayPeer extends KnownPeer {
-  /** When it said so itself, to whomever it was. */
-  heardAt: Milliseconds;
+  /** When any gateway last heard from it directly, on the local clock. */
+  lastHeardAt: Milliseconds;
   storeReachable: boolean;
-  /** It, or one of its failure domain, has had a request to forward since its start. */
+  /** Whether it, or any gateway of its failure domain, has had a request to forward. */
   hasServed: boolean;
 }
--- a/src/gateway/peers/follow-control.ts
+++ b/src/gateway/peers/follow-control.ts
@@ -52,13 +52,13 @@
   let mode: FollowMode = 'off';
 
   const isStale = (proof: Proof | undefined, boundMs: Milliseconds, now: Milliseconds): boolean =>
-    (ageOf(proof, now) ?? Infinity) > boundProofs(boundMs).distrustAfterMs(table.hubPeriod());
+    (ageOf(proof, now) ?? Infinity) > boundProofs(boundMs).distrustAfterMs(table.hubInterval());
   const isAnyProofStale = (now: Milliseconds): boolean =>
     isStale(board.configurationProof.read(), settings.configuration.applyMs, now) ||
     isStale(board.fleetProof.read(), settings.servers.drainMs, now);
   /** Why this gateway has to follow on its own; undefined if it can rely on the hub. */
   const findFallbackReason = (now: Milliseconds): string | undefined => {
-    const hubStatus = table.judgeHub(now);
+    const hubStatus = table.hubStatus(now);
     if (hubStatus !== 'trusted') return `the hub is ${hubStatus}`;
     if (!board.storeContact.read().reachable) return 'a store call failed';
     return isAnyProofStale(now)
@@ -84,7 +84,7 @@
   /** Best effort: a peer that misses a message detects its lag from the next digest. */
   const relayToDomain = (send: (address: string) => Promise<void>): void => {
     if (!table.isHub()) return;
-    for (const peer of table.listNear()) {
+    for (const peer of table.listDomainPeers()) {
       send(peer.address).catch((error: unknown) => {
         logger.log('peerCallFailed', { peer: peer.name, reason: String(error) });
       });
--- a/src/gateway/peers/peers-part.ts
+++ b/src/gateway/peers/peers-part.ts
@@ -184,7 +184,7 @@
     client,
   });
   const checkCatchUp = createCatchUpCheck(context, client, {
-    listDigests: () => table.listHeard().map(({ digest }) => digest),
+    listDigests: () => table.listCatchUpSources().map(({ digest }) => digest),
     ownVersions,
     apply: ({ configuration: configurationCopy, fleet: fleetCopy }: CatchUpResponse) => {
       if (configurationCopy) configuration.take(configurationCopy, 'peer');
@@ -230,7 +230,7 @@
     }
     const hasPeerChanges = timedOut.length > 0 || board.peerLoad.read().unheard !== countUnheard();
     if (hasUnpublishedChanges || hasPeerChanges) publish();
-    for (const peer of table.listDue(now)) void exchange(peer);
+    for (const peer of table.listDuePeers(now)) void exchange(peer);
     followControl.update(now);
     checkCatchUp();
   };
@@ -245,7 +245,7 @@
       timer = setInterval(tick, PEERING_TICK_MS);
       // Gateways in this failure domain use the same backend servers, so report a stall immediately.
       backends.onSuspicion(() => {
-        for (const peer of table.listNearPartners()) void exchange(peer);
+        for (const peer of table.listDomainPartners()) void exchange(peer);
       });
       // The next copy of a harmful request may reach any gateway, so report it immediately.
       quarantine.onReport(() => {
