--- a/features/gateway/former-lives.steps.ts
+++ b/features/gateway/former-lives.steps.ts
@@ -1,5 +1,5 @@
 /**
- * What gateways remember of servers that start again under their ids, driven without sockets.
+ * State kept for backend servers that restart under the same id, tested without a network.
  */
 import assert from 'node:assert/strict';
 import { setImmediate as nextTurn } from 'node:timers/promises';
@@ -19,39 +19,42 @@
 import { createManualClock, type ManualClock } from '../../src/core/clock/index.js';
 import { createRandom } from '../../src/core/random/index.js';
 import type { EngineCalls, ProbeOutcome } from '../../src/gateway/backends/short-call.js';
-import { createLossFinder, type LossFinder } from '../../src/gateway/groups/losses.js';
+import {
+  createMemberMonitor,
+  type MemberMonitor,
+} from '../../src/gateway/groups/member-monitor.js';
 import { createBackends, type Backends } from '../../src/gateway/requests/backends.js';
 import type { GatewayContext } from '../../src/gateway/types.js';
 import type { BackendServer, ServingService } from '../../src/ports/index.js';
 import { createServer, createView } from './planning-model.js';
 
-interface FormerLivesWorld {
+interface RestartWorld {
   clock: ManualClock;
   fleet: WritableSection<ServingFleet>;
   backends: Backends;
   engine: BackendServer;
   lastModels: (string | undefined)[];
-  losses: LossFinder;
-  endProbes: () => void;
+  memberMonitor: MemberMonitor;
+  completeProbes: () => void;
   plan: GroupPlan;
   group: readonly BackendServer[];
 }
 
 const ID = 'server-1';
 const SERVICE: ServingService = { name: 'app', maxConnections: 10 };
-const FIRST_START = 1_700_000_000_000;
-const NOBODY: ReadonlySet<string> = new Set();
+const FIRST_STARTED_AT = 1_700_000_000_000;
+const NO_SERVERS: ReadonlySet<string> = new Set();
 
 function plainServer(startedAt: number): BackendServer {
   return { ...createServer(ID), service: SERVICE.name, startedAt };
 }
 
-function hear(fleet: ServingFleet, server: BackendServer): ServingFleet {
+function applyEntry(fleet: ServingFleet, server: BackendServer): ServingFleet {
   const revision = fleet.revision + 1;
   return applyFleetChanges(fleet, [{ kind: 'present', server }], revision, 0, 0);
 }
 
-/** The parts of a gateway's context that its view of the backend servers needs. */
+/** A partial gateway context, with what the tested units need. */
 function createContext(clock: ManualClock, fleet: WritableSection<ServingFleet>): GatewayContext {
   const context = {
     clock,
@@ -69,26 +72,26 @@
 }
 
 Given(
-  'a backend server that failed, stands still and has {int} requests under way',
-  function (this: FormerLivesWorld, requests: number) {
+  'a backend server that failed, stalled and has {int} requests in flight',
+  function (this: RestartWorld, requests: number) {
     this.clock = createManualClock(1_000);
-    this.fleet = createSection(hear(EMPTY_FLEET, plainServer(FIRST_START)));
+    this.fleet = createSection(applyEntry(EMPTY_FLEET, plainServer(FIRST_STARTED_AT)));
     this.backends = createBackends(createContext(this.clock, this.fleet));
     for (let sent = 0; sent < requests; sent += 1) this.backends.sent(ID);
     this.backends.progressed(ID);
     this.backends.answered(ID, true);
     this.backends.suspect(ID, 'nothing came from it');
-    assert.equal(this.backends.choose(SERVICE, undefined, NOBODY), undefined);
+    assert.equal(this.backends.choose(SERVICE, undefined, NO_SERVERS), undefined);
   },
 );
 
-When('it starts again under its id', function (this: FormerLivesWorld) {
+When('it restarts under the same id', function (this: RestartWorld) {
   this.clock.advance(100);
-  this.fleet.write(hear(this.fleet.read(), plainServer(FIRST_START - 1)));
+  this.fleet.write(applyEntry(this.fleet.read(), plainServer(FIRST_STARTED_AT - 1)));
 });
 
-function checkFresh({ backends }: FormerLivesWorld): void {
-  const chosen = backends.choose(SERVICE, undefined, NOBODY);
+function assertNoRecordedState({ backends }: RestartWorld): void {
+  const chosen = backends.choose(SERVICE, undefined, NO_SERVERS);
   assert.equal(chosen?.failing, 0);
   assert.equal(chosen.inFlight, 0);
   assert.equal(backends.lastProgress(ID), Number.NEGATIVE_INFINITY);
@@ -96,33 +99,33 @@
   assert.deepEqual(backends.suspicions.listAll(0), []);
 }
 
-Then('it is chosen, and nothing counts against it', function (this: FormerLivesWorld) {
-  checkFresh(this);
+Then('it is selected, with no recorded failures or load', function (this: RestartWorld) {
+  assertNoRecordedState(this);
 });
 
 Then(
-  'news of the {int} requests change nothing of that, nor does an older finding of a peer',
-  function (this: FormerLivesWorld, requests: number) {
+  'late results of the {int} requests do not change that, nor does an older suspicion of a peer',
+  function (this: RestartWorld, requests: number) {
     this.clock.advance(50);
     assert.equal(this.backends.learnSuspicion(ID, 100, 1_000), false);
     for (let ended = 0; ended < requests; ended += 1) {
-      // The order of a request's run: what its sending showed is told after its end.
+      // As in a real request, results are reported after its end.
       this.backends.progressed(ID);
       this.backends.ended(ID);
       this.backends.answered(ID, true);
       this.backends.suspect(ID, 'nothing came from it');
-      checkFresh(this);
+      assertNoRecordedState(this);
     }
   },
 );
 
 Then(
-  'once they have ended, its own failures and requests count',
-  async function (this: FormerLivesWorld) {
+  'after they have ended, its own failures and requests are counted',
+  async function (this: RestartWorld) {
     await nextTurn();
     this.backends.sent(ID);
     this.backends.answered(ID, true);
-    const chosen = this.backends.choose(SERVICE, undefined, NOBODY);
+    const chosen = this.backends.choose(SERVICE, undefined, NO_SERVERS);
     assert.equal(chosen?.inFlight, 1);
     assert.ok(chosen.failing > 0);
     assert.equal(this.backends.learnSuspicion(ID, 10, 1_000), true);
@@ -131,18 +134,18 @@
 
 Given(
   'an engine that was last ready in a replica of {string}',
-  function (this: FormerLivesWorld, model: string) {
-    this.engine = { ...createServer(ID, { model, staged: [] }), startedAt: FIRST_START };
+  function (this: RestartWorld, model: string) {
+    this.engine = { ...createServer(ID, { model, staged: [] }), startedAt: FIRST_STARTED_AT };
   },
 );
 
 When(
-  'it is heard of again in the same life, and then in another',
-  function (this: FormerLivesWorld) {
-    const same = { ...createServer(ID, { staged: [] }), startedAt: FIRST_START };
-    let fleet = hear(EMPTY_FLEET, this.engine);
-    this.lastModels = [same, { ...same, startedAt: FIRST_START + 1 }].map((server) => {
-      fleet = hear(fleet, server);
+  'its entry is updated by the same process, and then by a restarted one',
+  function (this: RestartWorld) {
+    const same = { ...createServer(ID, { staged: [] }), startedAt: FIRST_STARTED_AT };
+    let fleet = applyEntry(EMPTY_FLEET, this.engine);
+    this.lastModels = [same, { ...same, startedAt: FIRST_STARTED_AT + 1 }].map((server) => {
+      fleet = applyEntry(fleet, server);
       return fleet.servers.get(ID)?.engine?.lastModel;
     });
   },
@@ -150,7 +153,7 @@
 
 Then(
   'its last model is {string} first, and then none',
-  function (this: FormerLivesWorld, model: string) {
+  function (this: RestartWorld, model: string) {
     assert.deepEqual(this.lastModels, [model, undefined]);
   },
 );
@@ -158,66 +161,63 @@
 const MEMBERS: readonly GroupMember[] = ['silent', 'slow'].map((id) => ({
   id,
   address: '10.0.0.1:80',
-  startedAt: FIRST_START,
+  startedAt: FIRST_STARTED_AT,
 }));
 
-Given(
-  'a replica whose members are probed, one silent and one slow',
-  function (this: FormerLivesWorld) {
-    let end: () => void = () => undefined;
-    const ended = new Promise<void>((resolve) => {
-      end = resolve;
-    });
-    const probe = async ({ id }: GroupMember): Promise<ProbeOutcome> => {
-      await ended;
-      return id === 'silent' ? { kind: 'silent' } : { kind: 'answers', pace: 5 };
-    };
-    const calls = { probe } as unknown as EngineCalls;
-    this.endProbes = end;
-    this.losses = createLossFinder(
-      createContext(createManualClock(), createSection(EMPTY_FLEET)),
-      calls,
-    );
-    const members = [...MEMBERS];
-    this.losses.examine({ name: 'g', epoch: 1, model: 'small', members, closing: 'no' }, 0);
-  },
-);
+Given('a replica whose members are probed, one silent and one slow', function (this: RestartWorld) {
+  let complete: () => void = () => undefined;
+  const completed = new Promise<void>((resolve) => {
+    complete = resolve;
+  });
+  const probe = async ({ id }: GroupMember): Promise<ProbeOutcome> => {
+    await completed;
+    return id === 'silent' ? { kind: 'silent' } : { kind: 'answers', pace: 5 };
+  };
+  const calls = { probe } as unknown as EngineCalls;
+  this.completeProbes = complete;
+  this.memberMonitor = createMemberMonitor(
+    createContext(createManualClock(), createSection(EMPTY_FLEET)),
+    calls,
+  );
+  const members = [...MEMBERS];
+  this.memberMonitor.checkGroup({ name: 'g', epoch: 1, model: 'small', members, closing: 'no' }, 0);
+});
 
-When('both start again before the probes end', async function (this: FormerLivesWorld) {
-  this.endProbes();
+When('both restart before the probes complete', async function (this: RestartWorld) {
+  this.completeProbes();
   await nextTurn();
   await nextTurn();
-  assert.equal(this.losses.lost.size, 1);
-  assert.equal(this.losses.slow.size, 1);
-  const lives = MEMBERS.map(({ id }) => `${id} ${FIRST_START + 1}`);
-  this.losses.keepOnly(new Set(lives), new Set(['g']));
+  assert.equal(this.memberMonitor.lost.size, 1);
+  assert.equal(this.memberMonitor.slow.size, 1);
+  const incarnationKeys = MEMBERS.map(({ id }) => `${id} ${FIRST_STARTED_AT + 1}`);
+  this.memberMonitor.retain(new Set(incarnationKeys), new Set(['g']));
 });
 
-Then('neither is lost or slow', function (this: FormerLivesWorld) {
-  assert.equal(this.losses.lost.size, 0);
-  assert.equal(this.losses.slow.size, 0);
+Then('neither is lost or slow', function (this: RestartWorld) {
+  assert.equal(this.memberMonitor.lost.size, 0);
+  assert.equal(this.memberMonitor.slow.size, 0);
 });
 
 Given(
-  'a planned group whose member has started again, and says that it has joined the group',
-  function (this: FormerLivesWorld) {
+  'a planned group whose member has restarted and reports that it has joined the group',
+  function (this: RestartWorld) {
     const members = ['head', 'member'].map((id) => ({
       id,
       address: '10.0.0.1:80',
-      startedAt: FIRST_START,
+      startedAt: FIRST_STARTED_AT,
     }));
     const group = { name: 'g', epoch: 1, model: 'small', members, closing: 'no' as const };
     this.plan = { lastEpoch: 1, groups: [group] };
     this.group = ['head', 'member'].map((id, rank) => ({
       ...createServer(id, { membership: { group: 'g', epoch: 1, rank, state: 'ready' } }),
-      startedAt: rank === 0 ? FIRST_START : FIRST_START + 1,
+      startedAt: rank === 0 ? FIRST_STARTED_AT : FIRST_STARTED_AT + 1,
     }));
   },
 );
 
 Then(
-  'the next plan takes the group apart, and no order before that forms it',
-  function (this: FormerLivesWorld) {
+  'the next plan disbands the group, and no earlier order forms it',
+  function (this: RestartWorld) {
     const view = createView(this.group, { targets: [] });
     assert.deepEqual(listOrders(this.plan, view), []);
     const next = revisePlan(this.plan, view);
@@ -227,7 +227,7 @@
   },
 );
 
-Then('a plan that names no lives is left as it is', function (this: FormerLivesWorld) {
+Then('a plan without start times is left unchanged', function (this: RestartWorld) {
   const groups = this.plan.groups.map((group) => ({
     ...group,
     members: group.members.map(({ id, address }) => ({ id, address })),
--- a/features/gateway/groups.feature
+++ b/features/gateway/groups.feature
@@ -6,23 +6,20 @@
     And each head was opened only after all its members were ready
 
   Scenario: A member of a replica ends
-    The member's process is gone and its entry lapses. Its head would keep accepting requests that
-    never move; it leaves its group before any of the others joins another one.
+    Guards against a head that keeps accepting requests after its group has lost a member.
     Given a site with 5 engines and a ready gateway with 2 open groups
     When a member of an open group ends
     Then 2 groups are open again without it
     And its head left its group before it joined another
 
   Scenario: A gateway starts where groups are open already
-    The gateways lost power and the engines went on. The plans in the store name the open groups;
-    they are taken over and not formed anew.
+    Open groups must be taken over from the stored plan rather than formed again.
     Given a site with 4 engines and a ready gateway with 2 open groups
     When the gateway is killed and another one starts
     Then the same groups are open after the new gateway has served a stream
 
   Scenario: The answer to the write of a plan is lost
-    The plan stands in the store and its writer was told nothing. Reading again shows it; a second
-    write would fail on its condition, and the groups would never form.
+    Guards against repeating a conditional write that succeeded, which would fail forever.
     Given a site with 4 engines and no groups
     And the store loses the answers to writes
     And a gateway
--- a/features/gateway/groups.steps.ts
+++ b/features/gateway/groups.steps.ts
@@ -4,7 +4,7 @@
 import type { EngineStandIn } from './stand-ins/engine.js';
 import type { GatewayWorld } from './world.js';
 
-function listGroups(world: GatewayWorld): string[] {
+function listOpenGroups(world: GatewayWorld): string[] {
   return world.site.listOpen().map(({ membership }) => `${membership?.name} ${membership?.epoch}`);
 }
 
@@ -30,7 +30,7 @@
 });
 
 When('a member of an open group ends', function (this: GatewayWorld) {
-  this.groupsBefore = listGroups(this);
+  this.groupsBefore = listOpenGroups(this);
   const member = this.site.servers.find(({ membership }) => membership?.rank === 1);
   assert.ok(member?.membership);
   this.lastId = member.membership.name;
@@ -41,7 +41,7 @@
 
 Then('{int} groups are open again without it', async function (this: GatewayWorld, groups: number) {
   await waitFor('a new group', () => {
-    const open = listGroups(this);
+    const open = listOpenGroups(this);
     return open.length === groups && open.some((group) => !this.groupsBefore.includes(group));
   });
 });
@@ -58,7 +58,7 @@
 });
 
 When('the gateway is killed and another one starts', async function (this: GatewayWorld) {
-  this.groupsBefore = listGroups(this);
+  this.groupsBefore = listOpenGroups(this);
   this.gateway.signal('SIGKILL');
   await this.gateway.exited;
   this.gateway = await this.site.startGateway();
@@ -74,7 +74,7 @@
     const ask = { method: 'POST', path: '/chat/talk', body: '{}' };
     const answer = await this.site.ask(this.gateway, ask);
     assert.equal(answer.status, 200, answer.body);
-    assert.deepEqual(listGroups(this), this.groupsBefore);
+    assert.deepEqual(listOpenGroups(this), this.groupsBefore);
   },
 );
 
--- a/features/gateway/lives.feature
+++ b/features/gateway/lives.feature
@@ -1,53 +1,47 @@
-Feature: An engine that starts again under its id begins a new life
+Feature: An engine that restarts under the same id is treated as a new process
 
   Scenario: A member of an open group starts again
-    The engine's process ends and is back under its id a moment later, with nothing of before. Its
-    entry never vanishes. Its group has lost a member: the head accepts requests that never move.
-    Taking the new life for the old one would leave the group in service, or have the engine join it
-    again behind the head's back.
+    The engine's store entry never vanishes. Guards against a restarted member being taken for the
+    former one, which would leave a broken group in service.
     Given a site with 5 engines and a ready gateway with 2 open groups
     When a member of an open group starts again
     Then its former group is not open any more and 2 groups are open
-    And the new life was never told to join its former group
+    And the restarted engine was never ordered to join its former group
 
   Scenario: An idle engine starts again without its weights
-    The order that brought weights to its host was carried out by its former life. Until it is given
-    anew, the engine can't take the place of a member that is lost.
+    The weights have to be staged again before the engine can replace a lost member.
     Given a site with 5 engines and a ready gateway with 2 open groups
     And the idle engine has weights on its host
     When the idle engine starts again
     Then it has weights on its host again within 5000 ms
 
   Scenario: A backend server starts again at another address
-    The former process is cut off from the store and lives on. Connections to it are kept for the
-    next request of its id; a caller would get an answer of a process that is gone for everyone else.
+    Guards against requests being sent to the former process over connections that were kept open.
     Given a site with 1 plain server and a ready gateway
     And connections to it are kept
-    When its id starts again at another address while the former process lives on
+    When its id is started at another address while the former process keeps running
     Then no request reaches the former process once the gateway knows
 
-  Scenario: What was seen of a former life says nothing of the next
-    # A server fails, stands still and has requests under way when its process ends. It is back under
-    # its id a moment later. Held against the new life, all that would keep it out of service.
-    Given a backend server that failed, stands still and has 5 requests under way
-    When it starts again under its id
-    Then it is chosen, and nothing counts against it
-    And news of the 5 requests change nothing of that, nor does an older finding of a peer
-    And once they have ended, its own failures and requests count
+  Scenario: State recorded for a former process does not apply to the restarted one
+    # Failures, stalls and load of the former process must not keep a restarted server out of service.
+    Given a backend server that failed, stalled and has 5 requests in flight
+    When it restarts under the same id
+    Then it is selected, with no recorded failures or load
+    And late results of the 5 requests do not change that, nor does an older suspicion of a peer
+    And after they have ended, its own failures and requests are counted
 
-  Scenario: A new life has none of the models that its former one had
+  Scenario: A restarted engine has none of the models of its former process
     Given an engine that was last ready in a replica of "small"
-    When it is heard of again in the same life, and then in another
+    When its entry is updated by the same process, and then by a restarted one
     Then its last model is "small" first, and then none
 
-  Scenario: The silence of a former life says nothing of the next
-    # Probes of a silent member are under way when its process is started again. Lost or slow by
-    # their outcome, the new life would be left out of all replicas.
+  Scenario: Probe results of a former process do not apply to the restarted one
+    # Guards against results of probes of the former process being applied to the restarted one.
     Given a replica whose members are probed, one silent and one slow
-    When both start again before the probes end
+    When both restart before the probes complete
     Then neither is lost or slow
 
-  Scenario: An order goes to one life
-    Given a planned group whose member has started again, and says that it has joined the group
-    Then the next plan takes the group apart, and no order before that forms it
-    And a plan that names no lives is left as it is
+  Scenario: An order applies to one process of an engine
+    Given a planned group whose member has restarted and reports that it has joined the group
+    Then the next plan disbands the group, and no earlier order forms it
+    And a plan without start times is left unchanged
--- a/features/gateway/lives.steps.ts
+++ b/features/gateway/lives.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Engines that start again under their ids, as a gateway's process meets them.
+ * Backend servers that restart under the same id, tested with gateway processes.
  */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
@@ -7,17 +7,17 @@
 import type { Arrival, EngineStandIn } from './stand-ins/engine.js';
 import type { GatewayWorld } from './world.js';
 
-interface LivesWorld extends GatewayWorld {
+interface ProcessRestartWorld extends GatewayWorld {
   restarted: EngineStandIn;
   formerGroup: string;
-  /** What reached the life at another address. */
-  arrivals: Arrival[];
+  /** Requests that reached the process at the new address. */
+  newProcessArrivals: Arrival[];
 }
 
 const LIST = { path: '/list/slots' };
-const ASKED = 12;
+const REQUEST_COUNT = 12;
 
-When('a member of an open group starts again', async function (this: LivesWorld) {
+When('a member of an open group starts again', async function (this: ProcessRestartWorld) {
   const member = this.site.servers.find(({ membership }) => membership?.rank === 1);
   assert.ok(member?.membership);
   this.restarted = member;
@@ -27,7 +27,7 @@
 
 Then(
   'its former group is not open any more and {int} groups are open',
-  async function (this: LivesWorld, groups: number) {
+  async function (this: ProcessRestartWorld, groups: number) {
     await waitFor('groups of other members', () => {
       const open = this.site.listOpen().map(({ membership }) => membership?.name);
       return open.length === groups && !open.includes(this.formerGroup);
@@ -35,21 +35,24 @@
   },
 );
 
-Then('the new life was never told to join its former group', function (this: LivesWorld) {
-  const { orders } = this.restarted;
-  assert.ok(!orders.includes(`join ${this.formerGroup}`), orders.join(', '));
-});
+Then(
+  'the restarted engine was never ordered to join its former group',
+  function (this: ProcessRestartWorld) {
+    const { orders } = this.restarted;
+    assert.ok(!orders.includes(`join ${this.formerGroup}`), orders.join(', '));
+  },
+);
 
-function findIdle({ site }: LivesWorld): EngineStandIn | undefined {
+function findIdleEngine({ site }: ProcessRestartWorld): EngineStandIn | undefined {
   return site.servers.find(({ membership }) => membership === undefined);
 }
 
-Given('the idle engine has weights on its host', async function (this: LivesWorld) {
-  await waitFor('weights on its host', () => findIdle(this)?.staged.length === 1);
+Given('the idle engine has weights on its host', async function (this: ProcessRestartWorld) {
+  await waitFor('weights on its host', () => findIdleEngine(this)?.staged.length === 1);
 });
 
-When('the idle engine starts again', async function (this: LivesWorld) {
-  const idle = findIdle(this);
+When('the idle engine starts again', async function (this: ProcessRestartWorld) {
+  const idle = findIdleEngine(this);
   assert.ok(idle);
   this.restarted = idle;
   await idle.restart();
@@ -57,21 +60,25 @@
 
 Then(
   'it has weights on its host again within {int} ms',
-  async function (this: LivesWorld, ms: number) {
+  async function (this: ProcessRestartWorld, ms: number) {
     await waitFor('weights on its host', () => this.restarted.staged.length === 1, ms);
   },
 );
 
-Given('connections to it are kept', async function (this: LivesWorld) {
-  await Promise.all(Array.from({ length: ASKED }, () => this.site.ask(this.gateway, LIST)));
+Given('connections to it are kept', async function (this: ProcessRestartWorld) {
+  await Promise.all(Array.from({ length: REQUEST_COUNT }, () => this.site.ask(this.gateway, LIST)));
 });
 
 When(
-  'its id starts again at another address while the former process lives on',
-  async function (this: LivesWorld) {
+  'its id is started at another address while the former process keeps running',
+  async function (this: ProcessRestartWorld) {
     const id = this.site.servers[0]?.options.id ?? '';
-    this.arrivals = [];
-    const next = await this.site.addServer({ id, service: 'app', journal: this.arrivals });
+    this.newProcessArrivals = [];
+    const next = await this.site.addServer({
+      id,
+      service: 'app',
+      journal: this.newProcessArrivals,
+    });
     await waitFor('the gateway to know', () =>
       this.gateway.lines.some((line) => line.server === id && line.address === next.address),
     );
@@ -80,12 +87,12 @@
 
 Then(
   'no request reaches the former process once the gateway knows',
-  async function (this: LivesWorld) {
+  async function (this: ProcessRestartWorld) {
     const before = this.site.journal.length;
-    for (let asked = 0; asked < ASKED; asked += 1) {
+    for (let asked = 0; asked < REQUEST_COUNT; asked += 1) {
       assert.equal((await this.site.ask(this.gateway, LIST)).status, 200);
     }
     assert.equal(this.site.journal.length, before);
-    assert.equal(this.arrivals.length, ASKED);
+    assert.equal(this.newProcessArrivals.length, REQUEST_COUNT);
   },
 );
--- a/features/gateway/peering.feature
+++ b/features/gateway/peering.feature
@@ -15,7 +15,7 @@
     Then each gateway considers all others alive
     And each gateway knows the load of all others
 
-  Scenario: Those who answer for others die
+  Scenario: All hubs crash at once
     # The members must fail over to the same new hubs and stop counting the crashed ones as alive.
     Given 4 failure domains of 16 gateways each that exchange digests
     And 4000 ms pass among them
--- a/src/gateway/groups/domain-keeper.ts
+++ b/src/gateway/groups/domain-controller.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the replicas of one fabric domain and service, while this gateway owns it.
+ * Reconciles the replicas of one service in one fabric domain while this gateway owns it.
  */
 import {
   EMPTY_PLAN,
@@ -19,9 +19,9 @@
 import type { ObjectStore } from '../store/client.js';
 import { eraOf, revisionOf } from '../store/place.js';
 import type { GatewayContext } from '../types.js';
-import { createLossFinder } from './losses.js';
+import { createMemberMonitor } from './member-monitor.js';
 
-/** One fabric domain of one service, as the fleet shows it now. */
+/** Current state of one service in one fabric domain. */
 export interface DomainState {
   service: string;
   domain: string;
@@ -32,61 +32,61 @@
   loadSlots: number;
 }
 
-/** Plans and orders for one domain. */
-export interface DomainKeeper {
-  /** One round: reads, plans, stores and orders what is due. Rounds never overlap. */
-  round(state: DomainState): void;
-  /** Another gateway owns the domain: everything known of its plan may be old. */
+/** Plans the replicas of one domain and sends orders to its engines. */
+export interface DomainController {
+  /** Revises and stores the plan, and sends the orders that are due. Does nothing while running. */
+  reconcile(state: DomainState): void;
+  /** Discards the cached plan, because another gateway may own the domain and change it. */
   release(): void;
 }
 
-interface DomainKeeperOptions {
+interface DomainControllerOptions {
   context: GatewayContext;
   store: ObjectStore;
   calls: EngineCalls;
   backends: Backends;
 }
 
-/** Plans are objects of this kind, one for each service and domain. */
+/** Kind of the store objects that hold plans, one per service and domain. */
 const PLAN_KIND = 'group-plans';
-/** An order whose effect is not seen is sent again after this. */
-const REPEAT_ORDER_MS: Milliseconds = 900;
-/** Staging takes as long as a load; the engine shows nothing of it until the end. */
-const REPEAT_STAGE_MS: Milliseconds = 30_000;
-/** An engine has seen a higher epoch than that of the order. */
-const OUTDATED_STATUS = 412;
-/** Pause after a store call that failed. */
-const STORE_PAUSE_MS: Milliseconds = 150;
+/** Time after which an order without a visible effect is sent again. */
+const ORDER_RETRY_MS: Milliseconds = 900;
+/** Longer for staging, because engines don't report its progress. */
+const STAGE_RETRY_MS: Milliseconds = 30_000;
+/** Response status of an engine that has seen a higher epoch than that of the order. */
+const STALE_EPOCH_STATUS = 412;
+/** Delay after a failed store call. */
+const STORE_RETRY_DELAY_MS: Milliseconds = 150;
 
-interface StagingUnderWay {
+interface PendingStaging {
   model: string;
-  since: Milliseconds;
+  startedAt: Milliseconds;
 }
 
 interface StoredPlan {
   plan: GroupPlan;
-  /** Absent while the object does not exist. */
+  /** Absent if the object does not exist yet. */
   revision?: number;
 }
 
-export function createDomainKeeper(options: DomainKeeperOptions): DomainKeeper {
+export function createDomainController(options: DomainControllerOptions): DomainController {
   const { context, store, calls, backends } = options;
   const { clock, logger, metrics } = context;
-  const losses = createLossFinder(context, calls);
-  const refused = new Set<string>();
-  const sentAt = new Map<string, Milliseconds>();
-  /** By life, like all that is remembered of an engine here. */
-  const staging = new Map<string, StagingUnderWay>();
+  const memberMonitor = createMemberMonitor(context, calls);
+  const refusedGroups = new Set<string>();
+  const lastSentAt = new Map<string, Milliseconds>();
+  /** By incarnation key, so that a restarted engine starts with a clean state. */
+  const pendingStaging = new Map<string, PendingStaging>();
   let stored: StoredPlan | undefined;
-  let isBusy = false;
-  let storePausedUntil = 0;
+  let isReconciling = false;
+  let storeRetryAt = 0;
 
   const planName = ({ service, domain }: DomainState): string => `${service}.${domain}`;
 
   const readPlan = async (state: DomainState): Promise<void> => {
     const read = await store.read(PLAN_KIND, planName(state));
     if (read.isErr()) {
-      storePausedUntil = clock.now() + STORE_PAUSE_MS;
+      storeRetryAt = clock.now() + STORE_RETRY_DELAY_MS;
       logger.log('planUnread', { domain: state.domain, reason: read.error.message });
       return;
     }
@@ -98,8 +98,8 @@
     if (parsed.success) stored = { plan: parsed.data, revision: read.value.revision };
     else logger.log('planUnreadable', { domain: state.domain, reason: parsed.error.message });
   };
-  /** The plan stands in a history that the store has left: it is read anew. */
-  const dropFormer = (): void => {
+  /** Discards a plan read before the store was restored from an older copy. */
+  const discardPlanOfFormerEra = (): void => {
     const revision = stored?.revision;
     if (revision !== undefined && eraOf(revision) < store.era()) stored = undefined;
   };
@@ -110,11 +110,11 @@
       logPlan(state, plan);
       return;
     }
-    // Whether it was lost, refused or overtaken: what counts is what the store has.
+    // The write may have succeeded, failed or lost a race, so read the plan again.
     const outcome = written.isErr() ? written.error.message : written.value.kind;
     logger.log('planNotWritten', { domain: state.domain, outcome });
     stored = undefined;
-    storePausedUntil = clock.now() + (written.isErr() ? STORE_PAUSE_MS : 0);
+    storeRetryAt = clock.now() + (written.isErr() ? STORE_RETRY_DELAY_MS : 0);
   };
   const logPlan = (state: DomainState, plan: GroupPlan): void => {
     logger.log('groupPlanWritten', {
@@ -125,36 +125,38 @@
         .join(' '),
     });
   };
-  const listStaging = ({ servers }: DomainState): ReadonlySet<string> => {
+  const listStagingInstances = ({ servers }: DomainState): ReadonlySet<string> => {
     const now = clock.now();
     for (const server of servers) {
-      const entry = staging.get(lifeKey(server));
+      const entry = pendingStaging.get(lifeKey(server));
       if (entry === undefined) continue;
-      const isOver = server.engine?.staged.includes(entry.model) ?? false;
-      if (isOver || now - entry.since > REPEAT_STAGE_MS) staging.delete(lifeKey(server));
+      const isDone = server.engine?.staged.includes(entry.model) ?? false;
+      if (isDone || now - entry.startedAt > STAGE_RETRY_MS) pendingStaging.delete(lifeKey(server));
     }
-    const known = new Set(servers.map(lifeKey));
-    for (const life of staging.keys()) if (!known.has(life)) staging.delete(life);
-    return new Set(servers.filter((server) => staging.has(lifeKey(server))).map(({ id }) => id));
+    const currentKeys = new Set(servers.map(lifeKey));
+    for (const key of pendingStaging.keys()) if (!currentKeys.has(key)) pendingStaging.delete(key);
+    return new Set(
+      servers.filter((server) => pendingStaging.has(lifeKey(server))).map(({ id }) => id),
+    );
   };
-  const viewOf = (state: DomainState): DomainView => ({
+  const createView = (state: DomainState): DomainView => ({
     profile: state.profile,
     targets: state.targets,
     servers: new Map(state.servers.map((server) => [server.id, server])),
-    lost: losses.lost,
-    slow: losses.slow,
-    staging: listStaging(state),
+    lost: memberMonitor.lost,
+    slow: memberMonitor.slow,
+    staging: listStagingInstances(state),
     loadSlots: state.loadSlots,
     beforeTraffic: state.beforeTraffic,
-    failed: new Set([...refused, ...losses.stuck]),
+    failed: new Set([...refusedGroups, ...memberMonitor.stuckGroups]),
   });
-  const examineSuspects = (plan: GroupPlan): void => {
+  const checkSuspectGroups = (plan: GroupPlan): void => {
     const now = clock.now();
     for (const group of plan.groups) {
       const isSuspect = group.members.some(({ id }) => backends.suspicions.isSuspect(id, now));
-      if (isSuspect && group.closing === 'no') losses.examine(group, now);
+      if (isSuspect && group.closing === 'no') memberMonitor.checkGroup(group, now);
     }
-    losses.recheck(now);
+    memberMonitor.recheckLost(now);
   };
   const sendOrder = async (due: DueOrder): Promise<void> => {
     const { order, to } = due;
@@ -170,26 +172,26 @@
       status: 'status' in outcome ? outcome.status : undefined,
       tookMs: Math.round(clock.now() - startedAt),
     });
-    takeOutcome(due, outcome);
+    handleOutcome(due, outcome);
   };
   /**
-   * Guards against an entry that outlives its process, or comes back with a word that arrives late:
-   * replicas planned with it never form, and their other members serve nobody until it lapses, after
-   * seconds. The answer at its address proves that it has ended; probes go on asking for it.
+   * Marks an instance as lost if the response shows that it has ended, because its store entry may
+   * outlive the process and a replica planned with it would never form.
    */
-  const takeOutcome = ({ order, to }: DueOrder, outcome: OrderOutcome): void => {
+  const handleOutcome = ({ order, to }: DueOrder, outcome: OrderOutcome): void => {
     switch (outcome.kind) {
       case 'accepted':
       case 'unknown':
         if (order.kind === 'stage')
-          staging.set(lifeKey(to), { model: order.model, since: clock.now() });
+          pendingStaging.set(lifeKey(to), { model: order.model, startedAt: clock.now() });
         break;
       case 'refused':
-        if (order.kind === 'join' && outcome.status === OUTDATED_STATUS) refused.add(order.group);
+        if (order.kind === 'join' && outcome.status === STALE_EPOCH_STATUS)
+          refusedGroups.add(order.group);
         break;
       case 'otherInstance':
       case 'gone':
-        losses.lose(to, outcome.kind);
+        memberMonitor.markLost(to, outcome.kind);
         break;
       case 'done':
         break;
@@ -198,28 +200,28 @@
   const isDue = (due: DueOrder, now: Milliseconds): boolean => {
     const { order, to } = due;
     const key = `${lifeKey(to)} ${order.kind} ${'group' in order ? order.group : order.model}`;
-    const last = sentAt.get(key);
-    const repeatMs = order.kind === 'stage' ? REPEAT_STAGE_MS : REPEAT_ORDER_MS;
-    if (last !== undefined && now - last < repeatMs) return false;
-    sentAt.set(key, now);
+    const sentAt = lastSentAt.get(key);
+    const retryMs = order.kind === 'stage' ? STAGE_RETRY_MS : ORDER_RETRY_MS;
+    if (sentAt !== undefined && now - sentAt < retryMs) return false;
+    lastSentAt.set(key, now);
     return true;
   };
-  const runRound = async (state: DomainState): Promise<void> => {
-    dropFormer();
+  const runReconcile = async (state: DomainState): Promise<void> => {
+    discardPlanOfFormerEra();
     if (stored === undefined) {
-      if (clock.now() < storePausedUntil) return;
+      if (clock.now() < storeRetryAt) return;
       await readPlan(state);
     }
     if (stored === undefined) return;
-    const names = new Set(stored.plan.groups.map(({ name }) => name));
-    // A plan may name a member without its life; then its id alone has to do.
-    const lives = state.servers.flatMap((server) => [server.id, lifeKey(server)]);
-    losses.keepOnly(new Set(lives), names);
-    examineSuspects(stored.plan);
-    const view = viewOf(state);
+    const groupNames = new Set(stored.plan.groups.map(({ name }) => name));
+    // A plan may name a member without its start time; such a member is matched by id alone.
+    const incarnationKeys = state.servers.flatMap((server) => [server.id, lifeKey(server)]);
+    memberMonitor.retain(new Set(incarnationKeys), groupNames);
+    checkSuspectGroups(stored.plan);
+    const view = createView(state);
     const next = revisePlan(stored.plan, view);
-    if (next !== stored.plan && clock.now() >= storePausedUntil) await writePlan(state, next);
-    // The store's answer takes its time, and may have been that another plan stands.
+    if (next !== stored.plan && clock.now() >= storeRetryAt) await writePlan(state, next);
+    // Writing the plan is asynchronous and resets `stored` if it failed.
     const current = stored as StoredPlan | undefined;
     if (current === undefined) return;
     const now = clock.now();
@@ -227,20 +229,20 @@
     for (const order of due) void sendOrder(order);
   };
   return {
-    round: (state) => {
-      if (isBusy) return;
-      isBusy = true;
-      runRound(state)
+    reconcile: (state) => {
+      if (isReconciling) return;
+      isReconciling = true;
+      runReconcile(state)
         .catch((error: unknown) => {
           logger.log('unexpectedError', { reason: String(error), where: 'groups' });
         })
         .finally(() => {
-          isBusy = false;
+          isReconciling = false;
         });
     },
     release: () => {
       stored = undefined;
-      sentAt.clear();
+      lastSentAt.clear();
     },
   };
 }
--- a/src/gateway/groups/groups-part.ts
+++ b/src/gateway/groups/groups-part.ts
@@ -1,5 +1,5 @@
 /**
- * Shares the fabric domains among the gateways and keeps those that are this one's.
+ * Distributes the fabric domains among the gateways and reconciles those owned by this one.
  */
 import {
   areCandidatesHeard,
@@ -19,7 +19,11 @@
 import type { ObjectStore } from '../store/client.js';
 import type { ContactKeeper } from '../store/contact.js';
 import type { GatewayContext, GatewayPart } from '../types.js';
-import { createDomainKeeper, type DomainKeeper, type DomainState } from './domain-keeper.js';
+import {
+  createDomainController,
+  type DomainController,
+  type DomainState,
+} from './domain-controller.js';
 
 interface GroupsPartOptions {
   context: GatewayContext;
@@ -29,94 +33,96 @@
   contact: Pick<ContactKeeper, 'isSettling'>;
 }
 
-const ROUND_EVERY_MS: Milliseconds = 100;
-/** Starts of loads are counted over this long, in seconds. */
+const RECONCILE_INTERVAL_MS: Milliseconds = 100;
+/** Time window of the limit on model loads per second, in seconds. */
 const LOAD_WINDOW_S = 5;
 
-/** The keeper of this gateway's domains. */
+/** Reconciles the fabric domains owned by this gateway. */
 export interface GroupsPart extends GatewayPart {
-  /** The process stood still: another gateway may have planned meanwhile. */
+  /** Releases all domains after a pause of the process, in which another gateway may have taken over. */
   releaseAll(): void;
 }
 
 export function createGroupsPart(options: GroupsPartOptions): GroupsPart {
   const { context } = options;
   const { board, clock, logger, settings } = context;
-  const keepers = new Map<string, DomainKeeper>();
-  const owned = new Set<string>();
+  const controllers = new Map<string, DomainController>();
+  const ownedKeys = new Set<string>();
   const startedAt = clock.now();
   let timer: NodeJS.Timeout | undefined;
-  const outlineLatest = keepLatest(outlineDomains);
-  /** For owners alone, since it takes its time with hundreds of instances. */
-  const divideLatest = keepLatest(divide);
-  const ownersLatest = keepLatest((known: ReadonlyMap<string, GatewayPeer>, isHeard: boolean) => {
-    const { name, failureDomain } = settings;
-    return createOwnerFinder({
-      self: { name, failureDomain },
-      peers: [...known.values()],
-      isHeard,
-    });
-  });
+  const memoizedDomains = keepLatest(groupByDomain);
+  /** Called only for owned domains, because it is expensive with hundreds of instances. */
+  const memoizedStates = keepLatest(createDomainStates);
+  const memoizedOwnerFinder = keepLatest(
+    (peers: ReadonlyMap<string, GatewayPeer>, isPeerStateCurrent: boolean) => {
+      const { name, failureDomain } = settings;
+      return createOwnerFinder({
+        self: { name, failureDomain },
+        peers: [...peers.values()],
+        isHeard: isPeerStateCurrent,
+      });
+    },
+  );
 
-  const keeperOf = (key: string): DomainKeeper => {
-    const known = keepers.get(key);
+  const controllerFor = (key: string): DomainController => {
+    const known = controllers.get(key);
     if (known) return known;
-    const created = createDomainKeeper(options);
-    keepers.set(key, created);
+    const created = createDomainController(options);
+    controllers.set(key, created);
     return created;
   };
-  const findOwners = (): OwnerFinder => {
-    const heardStoreForMs = clock.now() - board.storeContact.read().since;
-    return ownersLatest(board.peers.read(), areCandidatesHeard(heardStoreForMs));
+  const getOwnerFinder = (): OwnerFinder => {
+    const storeReachableForMs = clock.now() - board.storeContact.read().since;
+    return memoizedOwnerFinder(board.peers.read(), areCandidatesHeard(storeReachableForMs));
   };
-  const listDomains = (): readonly DomainOutline[] => {
+  const listDomains = (): readonly ServiceDomain[] => {
     const services = board.serving.read()?.services;
-    return services === undefined ? [] : outlineLatest(services, board.fleet.read());
+    return services === undefined ? [] : memoizedDomains(services, board.fleet.read());
   };
-  const listStates = (domains: readonly DomainOutline[]): ReadonlyMap<string, DomainState> => {
+  const listStates = (domains: readonly ServiceDomain[]): ReadonlyMap<string, DomainState> => {
     const peers = [...board.peers.read().values()];
     const beforeTraffic = !options.backends.hasServed() && peers.every((peer) => !peer.hasServed);
-    return divideLatest(domains, beforeTraffic);
+    return memoizedStates(domains, beforeTraffic);
   };
-  const round = (): void => {
-    // Others may own the domains by now, and what is known of their plans is as old as the contact.
+  const reconcile = (): void => {
+    // Without the store, other gateways may take over the domains and change the plans.
     if (!board.storeContact.read().reachable) {
       releaseAll();
       return;
     }
-    // Engines that serve look free until their entries are written again.
+    // After the store was restored, serving engines look free until they rewrite their entries.
     if (options.contact.isSettling()) return;
-    // Others must have had the time to be heard before a domain without an owner is taken.
+    // Wait until the state of the other gateways is known before taking domains.
     if (clock.now() - startedAt < PEERS_HEARD_MS) return;
-    const ownerOf = findOwners();
+    const ownerOf = getOwnerFinder();
     const domains = listDomains();
     for (const domain of domains) {
       const { key } = domain;
-      const isMine = ownerOf(domain) === settings.name;
-      if (isMine !== owned.has(key)) noteOwnership(key, domain.domain, isMine);
-      const state = isMine ? listStates(domains).get(key) : undefined;
-      if (state) keeperOf(key).round(state);
+      const isOwner = ownerOf(domain) === settings.name;
+      if (isOwner !== ownedKeys.has(key)) updateOwnership(key, domain.domain, isOwner);
+      const state = isOwner ? listStates(domains).get(key) : undefined;
+      if (state) controllerFor(key).reconcile(state);
     }
   };
   const releaseAll = (): void => {
-    if (owned.size === 0) return;
-    logger.log('domainsReleased', { domains: owned.size });
-    owned.clear();
-    for (const keeper of keepers.values()) keeper.release();
+    if (ownedKeys.size === 0) return;
+    logger.log('domainsReleased', { domains: ownedKeys.size });
+    ownedKeys.clear();
+    for (const controller of controllers.values()) controller.release();
   };
-  const noteOwnership = (key: string, domain: string, isMine: boolean): void => {
+  const updateOwnership = (key: string, domain: string, isOwner: boolean): void => {
     const peers = board.peers.read().size;
-    if (isMine) owned.add(key);
+    if (isOwner) ownedKeys.add(key);
     else {
-      owned.delete(key);
-      keepers.get(key)?.release();
+      ownedKeys.delete(key);
+      controllers.get(key)?.release();
     }
-    logger.log(isMine ? 'domainTaken' : 'domainLost', { domain, peers });
+    logger.log(isOwner ? 'domainTaken' : 'domainLost', { domain, peers });
   };
   return {
     releaseAll,
     start: () => {
-      timer = setInterval(round, ROUND_EVERY_MS);
+      timer = setInterval(reconcile, RECONCILE_INTERVAL_MS);
     },
     stop: () => {
       clearInterval(timer);
@@ -126,13 +132,13 @@
 
 type Services = ServingIndex['services'];
 
-/** One fabric domain of one service, as it stands in the fleet. */
-interface DomainOutline extends Pick<DomainState, 'service' | 'domain' | 'profile' | 'servers'> {
+/** The instances of one service in one fabric domain. */
+interface ServiceDomain extends Pick<DomainState, 'service' | 'domain' | 'profile' | 'servers'> {
   key: string;
   failureDomain: string;
 }
 
-function outlineDomains(services: Services, fleet: ServingFleet): readonly DomainOutline[] {
+function groupByDomain(services: Services, fleet: ServingFleet): readonly ServiceDomain[] {
   const engines = groupBy(fleet.servers.values(), ({ engine, service }) =>
     engine ? service : undefined,
   );
@@ -140,24 +146,24 @@
     const profile = services.get(service)?.engine;
     if (!profile) return [];
     const domains = groupBy(members, ({ engine }) => engine?.fabricDomain);
-    return [...domains].map(([domain, servers]): DomainOutline => {
+    return [...domains].map(([domain, servers]): ServiceDomain => {
       const failureDomain = servers[0]?.failureDomain ?? '';
       return { key: `${service} ${domain}`, service, domain, failureDomain, profile, servers };
     });
   });
 }
 
-function divide(
-  outlines: readonly DomainOutline[],
+function createDomainStates(
+  serviceDomains: readonly ServiceDomain[],
   beforeTraffic: boolean,
 ): ReadonlyMap<string, DomainState> {
   const states = new Map<string, DomainState>();
-  for (const domains of groupBy(outlines, ({ service }) => service).values()) {
+  for (const domains of groupBy(serviceDomains, ({ service }) => service).values()) {
     const [first] = domains;
     if (first === undefined) continue;
     const capacities = domains.map((domain) => measureCapacity(domain, beforeTraffic));
     const targetsOf = splitDomains(capacities, first.profile.models);
-    const loadSlots = Math.ceil(countLoads(first.profile) / domains.length);
+    const loadSlots = Math.ceil(maxConcurrentLoads(first.profile) / domains.length);
     for (const { key, service, domain, profile, servers } of domains) {
       const targets = targetsOf.get(domain) ?? [];
       states.set(key, { service, domain, profile, servers, targets, beforeTraffic, loadSlots });
@@ -166,17 +172,17 @@
   return states;
 }
 
-/** A load takes longer than the span over which starts are counted, so that no slot starts two in it. */
-function countLoads({ loadsAtOnce, loadsPerSecond }: EngineProfile): number {
+/** Concurrent loads that respect both limits, given that a load takes longer than the time window. */
+function maxConcurrentLoads({ loadsAtOnce, loadsPerSecond }: EngineProfile): number {
   return Math.min(loadsAtOnce, loadsPerSecond * LOAD_WINDOW_S);
 }
 
-/** Instances without any weights count only before there is traffic: they load in no time then. */
+/** Counts instances without weights only before there is traffic, when loading is fast. */
 function measureCapacity(
-  { domain, failureDomain, servers }: DomainOutline,
+  { domain, failureDomain, servers }: ServiceDomain,
   beforeTraffic: boolean,
 ): DomainCapacity {
-  const able = servers.filter(
+  const usable = servers.filter(
     ({ leaving, engine }) =>
       !leaving && (beforeTraffic || engine?.lastModel !== undefined || engine?.staged.length !== 0),
   );
@@ -186,5 +192,5 @@
     if (membership?.rank !== 0 || lastModel === undefined) continue;
     groups.set(lastModel, (groups.get(lastModel) ?? 0) + 1);
   }
-  return { domain, failureDomain, instances: able.length, groups };
+  return { domain, failureDomain, instances: usable.length, groups };
 }
