--- a/features/gateway/decisions.feature
+++ b/features/gateway/decisions.feature
@@ -1,44 +1,41 @@
-Feature: Decisions of a gateway, driven without sockets
+Feature: Decisions of a gateway, tested without a network
 
   Scenario: A stream is cut anywhere and goes on
-    The connection may end at any byte, and the next run may repeat events. The caller gets each
-    event once and in order, and never half of one.
-    When 300 random streams are cut at random bytes and gone on with
-    Then each comes out as it would have uncut
+    The caller gets each event once and in order, and never a partial one, although the next run may
+    repeat events.
+    When 300 random streams are interrupted at random bytes and resumed
+    Then each is delivered as without an interruption
 
   Scenario: Repeats of all gateways together stay within the operator's bound
-    An overload that makes many requests be sent again must not be multiplied by the repeats.
-    When 9 gateways repeat whatever they may in 12 random loads
+    Guards against repeats that amplify an overload.
+    When 9 gateways repeat as many requests as allowed under 12 random loads
     Then no window of 10000 ms has more repeats than the bound allows
 
-  # A part asks ten times a second for what follows from the fleet. Made anew each time it took most of a
-  # gateway's time; kept after a change it would plan for servers that are gone.
-  Scenario: What follows from a value is made anew with that value alone
-    When what follows from two values is asked for with "a b", "a b", "a c", "a c" and "a b"
-    Then it was made 3 times, and was each time what follows from the values asked with
+  # Guards against recomputing values ten times a second, and against using them after a change.
+  Scenario: A derived value is recomputed only when its inputs change
+    When a memoized function of two values is called with "a b", "a b", "a c", "a c" and "a b"
+    Then it is computed 3 times, and each result matches its arguments
 
-  # Every gateway of a large fleet takes every change of every engine. Looking at all of them for each
-  # one that had changed took more of a gateway's time the more engines there were.
+  # Guards against a cost per change that grows with the size of the fleet.
   Scenario: Only what has changed of a large fleet is looked at
     Given a fleet of 1700 backend servers
-    When one of them drains, one ends, and one says again what it has said before
-    Then the fleet names just the two that are not what they were
-    And once what vanished in an outage counts as gone the fleet names just that
+    When one of them drains, one ends, and one writes the same entry again
+    Then the fleet lists just the two that changed
+    And once a server that vanished in an outage is removed the fleet lists just that one as changed
 
   Scenario: Entries that vanish around an outage of the store count for a while
     Given a fleet of 3 backend servers
-    When the store returns without them and brings 2 back in time
-    Then all 3 count until then, and 2 afterwards
+    When the store returns without them and 2 reappear in time
+    Then all 3 are kept until the deadline, and 2 afterwards
 
-  Scenario: A stop begins only what ends before its grace does
-    A request that takes up to 1.25 times its expected time (twice where it may run once), or until its
-    answer is due, must never be under way when the grace is over; whatever is surely finished
-    in time must not be refused.
+  Scenario: A stopping gateway starts only requests that end within the grace period
+    A request that takes up to 1.25 times its expected time (twice if it can't be repeated), or until
+    its answer is due, must not run past the grace period. One that surely ends in time is accepted.
     When 500 random requests arrive at random moments of a stop
-    Then none that is begun outlasts the grace
-    And none is refused whose answer is due before the grace is over
+    Then none that is started outlasts the grace period
+    And none is refused whose answer is due before the grace period ends
 
-  Scenario: What others took lately tells what a request will take
+  Scenario: Recent durations adjust the estimate of a request
     When a stream estimated at 1000 ms took 4000 ms
     Then the next is expected to take 4 times its estimate, and 2.5 times 10000 ms later
-    And an estimate without the most output tokens is infinite
+    And an estimate without a maximum number of output tokens is infinite
--- a/features/gateway/decisions.steps.ts
+++ b/features/gateway/decisions.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Streams that are gone on with, repeats, queues and lapsed entries, driven without sockets.
+ * Resumed streams, repeats, memoized values, vanished entries and stops, tested without a network.
  */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
@@ -26,18 +26,18 @@
   outcomes: boolean[];
   repeats: { at: number; requests: number; repeats: number }[][];
   fleet: ServingFleet;
-  /** Answers of a kept value, and what they should be. */
-  asked: { expected: string; given: string }[];
-  made: number;
+  /** Results of the memoized function, with the expected ones. */
+  results: { expected: string; given: string }[];
+  computations: number;
   counts: number[];
   arrivals: StopArrival[];
   slowness: SlownessTable;
 }
 
-/** A request that arrives after the signal, at the moment 0. */
+/** A request that arrives during a stop that began at time 0. */
 interface StopArrival extends RequestTime {
   at: number;
-  isBegun: boolean;
+  isStarted: boolean;
 }
 
 const SEED = 7_411;
@@ -48,8 +48,8 @@
   );
 }
 
-/** Pushes `text` in pieces of `sizes` and stops after `stopAt` bytes. */
-function pushPieces(
+/** Pushes the first `stopAt` bytes of `text` in chunks of the given `sizes`. */
+function pushChunks(
   stream: EventStream,
   text: string,
   sizes: readonly number[],
@@ -68,7 +68,7 @@
 }
 
 When(
-  '{int} random streams are cut at random bytes and gone on with',
+  '{int} random streams are interrupted at random bytes and resumed',
   function (this: DecisionWorld, streams: number) {
     const cases = fc.tuple(
       fc.integer({ min: 1, max: 40 }),
@@ -81,33 +81,33 @@
       .map(([count, cutAt, sizes, back]) => {
         const whole = renderEvents(count);
         const stream = new EventStream();
-        const first = pushPieces(stream, whole, sizes, cutAt);
+        const first = pushChunks(stream, whole, sizes, cutAt);
         stream.startRun();
         // The next run may begin a few events early.
         const from = Math.max(0, Number(stream.lastEventId ?? 0) - back);
         const rest = whole.split('\n\n').slice(from).join('\n\n');
-        const second = pushPieces(stream, rest, sizes, Infinity);
+        const second = pushChunks(stream, rest, sizes, Infinity);
         return first + second === whole && !stream.isMidEvent;
       });
   },
 );
 
-Then('each comes out as it would have uncut', function (this: DecisionWorld) {
+Then('each is delivered as without an interruption', function (this: DecisionWorld) {
   assert.ok(this.outcomes.every(Boolean));
 });
 
-const BOUNDS = { ratio: 0.2, windowMs: 10_000, slack: 109 };
-const LOAD_STEP_MS = 100;
-const LOAD_STEPS = 400;
+const REPEAT_LIMITS = { ratio: 0.2, windowMs: 10_000, slack: 109 };
+const STEP_MS = 100;
+const STEPS = 400;
 
 When(
-  '{int} gateways repeat whatever they may in {int} random loads',
+  '{int} gateways repeat as many requests as allowed under {int} random loads',
   function (this: DecisionWorld, gateways: number, loads: number) {
     const load = fc.array(fc.nat({ max: 30 }), { minLength: 20, maxLength: 60 });
     this.repeats = fc.sample(load, { numRuns: loads, seed: SEED }).map((rates) => {
-      const budgets = Array.from({ length: gateways }, () => new RepeatBudget(BOUNDS));
-      return Array.from({ length: LOAD_STEPS }, (_, step) => {
-        const at = step * LOAD_STEP_MS;
+      const budgets = Array.from({ length: gateways }, () => new RepeatBudget(REPEAT_LIMITS));
+      return Array.from({ length: STEPS }, (_, step) => {
+        const at = step * STEP_MS;
         const requests = rates[step % rates.length] ?? 0;
         let repeats = 0;
         for (let request = 0; request < requests; request += 1) {
@@ -124,24 +124,24 @@
 Then(
   'no window of {int} ms has more repeats than the bound allows',
   function (this: DecisionWorld, windowMs: number) {
-    const steps = windowMs / LOAD_STEP_MS;
+    const steps = windowMs / STEP_MS;
     const count = (part: readonly { requests: number }[]): number =>
       part.reduce((sum, { requests }) => sum + requests, 0);
     for (const load of this.repeats) {
       for (let end = steps; end <= load.length; end += 1) {
         const window = load.slice(end - steps, end);
-        // Requests count in the window, the one before it or the one half a window before it.
+        // The bound applies to the most requests in this window, or in one that is half or all of it earlier.
         const before = [0, steps / 2, steps].map((back) =>
           count(load.slice(Math.max(0, end - steps - back), Math.max(0, end - back))),
         );
         const repeats = window.reduce((sum, each) => sum + each.repeats, 0);
-        assert.ok(repeats <= BOUNDS.ratio * Math.max(...before) + BOUNDS.slack);
+        assert.ok(repeats <= REPEAT_LIMITS.ratio * Math.max(...before) + REPEAT_LIMITS.slack);
       }
     }
   },
 );
 const RETURN_AT = 1_000;
-const GONE_AT = 3_000;
+const REMOVED_AT = 3_000;
 
 Given('a fleet of {int} backend servers', function (this: DecisionWorld, servers: number) {
   const listed = Array.from({ length: servers }, (_, index) => createServer(`i-${index}`));
@@ -149,7 +149,7 @@
 });
 
 When(
-  'one of them drains, one ends, and one says again what it has said before',
+  'one of them drains, one ends, and one writes the same entry again',
   function (this: DecisionWorld) {
     const changes: FleetChange[] = [
       { kind: 'present', server: { ...createServer('i-0'), leaving: true } },
@@ -160,42 +160,42 @@
   },
 );
 
-Then('the fleet names just the two that are not what they were', function (this: DecisionWorld) {
+Then('the fleet lists just the two that changed', function (this: DecisionWorld) {
   assert.deepEqual(this.fleet.changed, ['i-0', 'i-1']);
 });
 
 Then(
-  'once what vanished in an outage counts as gone the fleet names just that',
+  'once a server that vanished in an outage is removed the fleet lists just that one as changed',
   function (this: DecisionWorld) {
     const vanishing: FleetChange[] = [{ kind: 'absent', id: 'i-3' }];
-    const vanished = applyFleetChanges(this.fleet, vanishing, 7, RETURN_AT, GONE_AT);
+    const vanished = applyFleetChanges(this.fleet, vanishing, 7, RETURN_AT, REMOVED_AT);
     assert.deepEqual(vanished.changed, []);
-    assert.deepEqual(expireVanished(vanished, GONE_AT).changed, ['i-3']);
+    assert.deepEqual(expireVanished(vanished, REMOVED_AT).changed, ['i-3']);
   },
 );
 
 When(
-  'the store returns without them and brings {int} back in time',
+  'the store returns without them and {int} reappear in time',
   function (this: DecisionWorld, back: number) {
     const absent = listChanges(this.fleet, []);
-    const empty = applyFleetChanges(this.fleet, absent, 9, RETURN_AT, GONE_AT);
+    const empty = applyFleetChanges(this.fleet, absent, 9, RETURN_AT, REMOVED_AT);
     const returned = Array.from({ length: back }, (_, index) => createServer(`i-${index}`));
     const changes = returned.map((server) => ({ kind: 'present' as const, server }));
-    const later = applyFleetChanges(empty, changes, 12, GONE_AT - 1, GONE_AT);
-    const before = expireVanished(later, GONE_AT - 1);
-    this.counts = [before.servers.size, expireVanished(later, GONE_AT).servers.size];
+    const later = applyFleetChanges(empty, changes, 12, REMOVED_AT - 1, REMOVED_AT);
+    const before = expireVanished(later, REMOVED_AT - 1);
+    this.counts = [before.servers.size, expireVanished(later, REMOVED_AT).servers.size];
   },
 );
 
 Then(
-  'all {int} count until then, and {int} afterwards',
+  'all {int} are kept until the deadline, and {int} afterwards',
   function (this: DecisionWorld, before: number, after: number) {
     assert.deepEqual(this.counts, [before, after]);
   },
 );
 
 const STOP_GRACE_MS = 8_000;
-/** What is left of the grace by then goes into closing. */
+/** The rest of the grace period is reserved for closing. */
 const LAST_ANSWER_MS = planStop(0, STOP_GRACE_MS).lastAnswerAt;
 
 When(
@@ -212,50 +212,50 @@
       .sample(requests, { numRuns: count, seed: SEED })
       .map(({ at, waitMs, ...rest }) => {
         const request = { ...rest, at, answerBy: at + waitMs };
-        return { ...request, isBegun: at <= latestBeginning(plan, request) };
+        return { ...request, isStarted: at <= latestBeginning(plan, request) };
       });
   },
 );
 
-Then('none that is begun outlasts the grace', function (this: DecisionWorld) {
-  const begun = this.arrivals.filter(({ isBegun }) => isBegun);
-  assert.ok(begun.length > 0 && begun.length < this.arrivals.length);
-  for (const { at, answerBy, expectedMs, isRepeatable } of begun) {
+Then('none that is started outlasts the grace period', function (this: DecisionWorld) {
+  const started = this.arrivals.filter(({ isStarted }) => isStarted);
+  assert.ok(started.length > 0 && started.length < this.arrivals.length);
+  for (const { at, answerBy, expectedMs, isRepeatable } of started) {
     const endAt = Math.min(answerBy, at + (isRepeatable ? 1.25 : 2) * expectedMs);
-    assert.ok(endAt <= LAST_ANSWER_MS, `begun at ${at}, ends at ${endAt}`);
+    assert.ok(endAt <= LAST_ANSWER_MS, `started at ${at}, ends at ${endAt}`);
   }
 });
 
 Then(
-  'none is refused whose answer is due before the grace is over',
+  'none is refused whose answer is due before the grace period ends',
   function (this: DecisionWorld) {
-    const refused = this.arrivals.filter(({ isBegun }) => !isBegun);
+    const refused = this.arrivals.filter(({ isStarted }) => !isStarted);
     assert.ok(refused.every(({ answerBy }) => answerBy > LAST_ANSWER_MS));
   },
 );
 
-const SLOW_KIND = 'models small';
+const SLOW_MODEL_KEY = 'models small';
 
 When(
   'a stream estimated at {int} ms took {int} ms',
   function (this: DecisionWorld, estimateMs: number, tookMs: number) {
     this.slowness = new SlownessTable();
-    this.slowness.record(SLOW_KIND, estimateMs, tookMs, 0);
-    // A quick one afterwards takes nothing back.
-    this.slowness.record(SLOW_KIND, estimateMs, estimateMs / 2, 0);
+    this.slowness.record(SLOW_MODEL_KEY, estimateMs, tookMs, 0);
+    // A faster stream afterwards must not lower the estimate.
+    this.slowness.record(SLOW_MODEL_KEY, estimateMs, estimateMs / 2, 0);
   },
 );
 
 Then(
   'the next is expected to take {int} times its estimate, and {float} times {int} ms later',
   function (this: DecisionWorld, times: number, later: number, afterMs: number) {
-    assert.equal(this.slowness.slownessOf(SLOW_KIND, 0), times);
-    assert.equal(this.slowness.slownessOf(SLOW_KIND, afterMs), later);
+    assert.equal(this.slowness.slownessOf(SLOW_MODEL_KEY, 0), times);
+    assert.equal(this.slowness.slownessOf(SLOW_MODEL_KEY, afterMs), later);
     assert.equal(this.slowness.slownessOf('others', 0), 1);
   },
 );
 
-Then('an estimate without the most output tokens is infinite', () => {
+Then('an estimate without a maximum number of output tokens is infinite', () => {
   const profile = {
     models: [],
     slots: 10,
@@ -271,33 +271,33 @@
   const model = { name: 'small', size: 2, pace: 0.5, share: 1, loadMs: 1, warmMs: 1 };
   const route = { targetMs: 300 };
   assert.equal(estimateStream(route, profile, model, 1_000, 0), Infinity);
-  // Reading takes 1000 / 50, each of 100 tokens 8 + 0.2 x 10, and the model half of that.
+  // The prompt takes 1000 / 50, each of 100 tokens 8 + 0.2 x 10, and the model's pace halves the sum.
   assert.equal(estimateStream(route, profile, model, 1_000, 100), 300 + 510);
 });
 
 When(
-  /^what follows from two values is asked for with (.+)$/,
+  /^a memoized function of two values is called with (.+)$/,
   function (this: DecisionWorld, pairs: string) {
     let made = 0;
     const join = keepLatest((one: string, other: string) => {
       made += 1;
       return `${one} ${other}`;
     });
-    this.asked = [...pairs.matchAll(/"(\w) (\w)"/g)].map(([, one = '', other = '']) => ({
+    this.results = [...pairs.matchAll(/"(\w) (\w)"/g)].map(([, one = '', other = '']) => ({
       expected: `${one} ${other}`,
       given: join(one, other),
     }));
-    this.made = made;
+    this.computations = made;
   },
 );
 
 Then(
-  'it was made {int} times, and was each time what follows from the values asked with',
+  'it is computed {int} times, and each result matches its arguments',
   function (this: DecisionWorld, times: number) {
-    assert.equal(this.made, times);
+    assert.equal(this.computations, times);
     assert.deepEqual(
-      this.asked.map(({ given }) => given),
-      this.asked.map(({ expected }) => expected),
+      this.results.map(({ given }) => given),
+      this.results.map(({ expected }) => expected),
     );
   },
 );
--- a/features/gateway/ownership.steps.ts
+++ b/features/gateway/ownership.steps.ts
@@ -1,19 +1,19 @@
 /**
- * Which gateway owns a fabric domain, from what each of them knows.
+ * Ownership of fabric domains, computed from each gateway's view of the others.
  */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import {
-  areCandidatesHeard,
+  hasReceivedPeerState,
   createOwnerFinder,
   type OwnerCandidate,
 } from '../../src/controllers/groups/index.js';
 
 interface OwnershipWorld {
   gateways: OwnerCandidate[];
-  /** What each is told of another one. */
-  told: (gateway: OwnerCandidate) => boolean;
-  heardStoreForMs: number;
+  /** Whether a gateway is reported to the others as connected to the store. */
+  isSeenAsReachable: (gateway: OwnerCandidate) => boolean;
+  storeReachableForMs: number;
   owners: OwnerCandidate[];
 }
 
@@ -26,32 +26,32 @@
 }
 
 Given(
-  '{int} failure domains of {int} gateways each that have just heard the store again',
+  '{int} failure domains of {int} gateways each that have just reconnected to the store',
   function (this: OwnershipWorld, domains: number, size: number) {
     this.gateways = listGateways(domains, size);
-    this.heardStoreForMs = 0;
+    this.storeReachableForMs = 0;
   },
 );
 
 Given(
-  '{int} failure domains of {int} gateways each that have heard the store for {int} ms',
+  '{int} failure domains of {int} gateways each that have been connected to the store for {int} ms',
   function (this: OwnershipWorld, domains: number, size: number, ms: number) {
     this.gateways = listGateways(domains, size);
-    this.heardStoreForMs = ms;
+    this.storeReachableForMs = ms;
   },
 );
 
-When('each takes the others to be still away', function (this: OwnershipWorld) {
-  this.told = () => false;
+When('each gateway still considers the others disconnected', function (this: OwnershipWorld) {
+  this.isSeenAsReachable = () => false;
 });
 
-When('the first of each failure domain stays cut off', function (this: OwnershipWorld) {
+When('the first of each failure domain stays disconnected', function (this: OwnershipWorld) {
   const domains = new Set<string>();
   for (const gateway of this.gateways) {
     gateway.storeReachable = domains.has(gateway.failureDomain);
     domains.add(gateway.failureDomain);
   }
-  this.told = ({ storeReachable }) => storeReachable;
+  this.isSeenAsReachable = ({ storeReachable }) => storeReachable;
 });
 
 Then(
@@ -59,25 +59,27 @@
   function (this: OwnershipWorld, domains: number) {
     this.owners = [];
     for (let index = 0; index < domains; index += 1) {
-      const owners = this.gateways.filter((self) => self.storeReachable && owns(this, self, index));
+      const owners = this.gateways.filter(
+        (self) => self.storeReachable && considersItselfOwner(this, self, index),
+      );
       assert.equal(owners.length, 1, owners.map(({ name }) => name).join(', '));
       this.owners.push(...owners);
     }
   },
 );
 
-Then('no owner is cut off from the store', function (this: OwnershipWorld) {
+Then('no owner is disconnected from the store', function (this: OwnershipWorld) {
   assert.ok(this.owners.every(({ storeReachable }) => storeReachable));
 });
 
-/** Whether `self` takes the fabric domain with the number `index` for its own. */
-function owns(world: OwnershipWorld, self: OwnerCandidate, index: number): boolean {
+/** Whether `self` considers itself the owner of the fabric domain with the number `index`. */
+function considersItselfOwner(world: OwnershipWorld, self: OwnerCandidate, index: number): boolean {
   const peers = world.gateways
     .filter((peer) => peer !== self)
-    .map((peer) => ({ ...peer, storeReachable: world.told(peer) }));
+    .map((peer) => ({ ...peer, storeReachable: world.isSeenAsReachable(peer) }));
   const failureDomain = `domain-${index % 3}`;
   const key = `models fabric-${index}`;
-  const isHeard = areCandidatesHeard(world.heardStoreForMs);
-  const ownerOf = createOwnerFinder({ self, peers, isHeard });
+  const isPeerStateCurrent = hasReceivedPeerState(world.storeReachableForMs);
+  const ownerOf = createOwnerFinder({ self, peers, isPeerStateCurrent: isPeerStateCurrent });
   return ownerOf({ key, failureDomain }) === self.name;
 }
--- a/features/gateway/planning-model.ts
+++ b/features/gateway/planning-model.ts
@@ -1,5 +1,5 @@
 /**
- * Fabric domains as a planner sees them, for properties of plans.
+ * Random fabric domains and views for tests of plans.
  */
 import {
   EMPTY_PLAN,
@@ -46,7 +46,7 @@
 };
 const STATES: readonly MembershipState[] = ['joining', 'ready', 'open', 'closing', 'broken'];
 
-/** One round: the plan before and after, what was seen, and the orders. */
+/** One planning round, with its input and results. */
 export interface PlannedRound {
   before: GroupPlan;
   after: GroupPlan;
@@ -84,13 +84,13 @@
     staging: new Set(),
     loadSlots: 2,
     beforeTraffic: false,
-    failed: new Set(),
+    failedGroups: new Set(),
     ...other,
   };
 }
 
-/** What one instance reports of the plan in a round, drawn from `draw`. */
-function drawServer(id: string, plan: GroupPlan, draw: () => number): BackendServer {
+/** A random report of an instance in a round, with numbers from `draw`. */
+function createRandomServer(id: string, plan: GroupPlan, draw: () => number): BackendServer {
   const group = plan.groups.find(({ members }) => members.some((member) => member.id === id));
   const staged = [['small'], ['large'], [], ['small', 'large']][draw() % 4] ?? [];
   const leaving = draw() % 12 === 0;
@@ -112,7 +112,7 @@
 const ROUNDS = 6;
 const INSTANCES = 11;
 
-export function planDomain(draws: readonly number[]): PlannedRound[] {
+export function planRandomDomain(draws: readonly number[]): PlannedRound[] {
   let next = 0;
   const draw = (): number => {
     next += 1;
@@ -122,7 +122,9 @@
   let plan = EMPTY_PLAN;
   for (let round = 0; round < ROUNDS; round += 1) {
     const ids = Array.from({ length: INSTANCES }, (_, index) => `i-${index}`);
-    const servers = ids.filter(() => draw() % 9 !== 0).map((id) => drawServer(id, plan, draw));
+    const servers = ids
+      .filter(() => draw() % 9 !== 0)
+      .map((id) => createRandomServer(id, plan, draw));
     const view = createView(servers, {
       lost: new Set(ids.filter(() => draw() % 10 === 0)),
       slow: new Set(ids.filter(() => draw() % 8 === 0)),
--- a/features/gateway/planning.steps.ts
+++ b/features/gateway/planning.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Plans of replicas, loads of weights and the split of domains, driven without sockets.
+ * Plans of replicas, staging of weights and the split of domains, tested without a network.
  */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
@@ -20,7 +20,7 @@
   createServer,
   createView,
   LARGE,
-  planDomain,
+  planRandomDomain,
   PROFILE,
   type PlannedRound,
 } from './planning-model.js';
@@ -30,7 +30,7 @@
   view: DomainView;
   domains: DomainCapacity[];
   split: DomainTargets;
-  /** As the store has it; empty when absent. */
+  /** The stored plan, empty if absent. */
   stored?: GroupPlan;
 }
 
@@ -40,14 +40,17 @@
   '{int} random fabric domains are planned for several rounds',
   function (this: PlanningWorld, domains: number) {
     const draws = fc.array(fc.nat({ max: 10_000 }), { minLength: 300, maxLength: 400 });
-    this.rounds = fc.sample(draws, { numRuns: domains, seed: SEED }).flatMap(planDomain);
+    this.rounds = fc.sample(draws, { numRuns: domains, seed: SEED }).flatMap(planRandomDomain);
     const formed = this.rounds.filter(({ before, after }) => after.lastEpoch > before.lastEpoch);
-    const opened = this.rounds.flatMap(({ orders }) => orders).filter(isOpen);
-    assert.ok(formed.length > domains && opened.length > 0, 'the draws must reach what is checked');
+    const opened = this.rounds.flatMap(({ orders }) => orders).filter(isOpenOrder);
+    assert.ok(
+      formed.length > domains && opened.length > 0,
+      'the random domains must form and open groups',
+    );
   },
 );
 
-function isOpen({ order }: DueOrder): boolean {
+function isOpenOrder({ order }: DueOrder): boolean {
   return order.kind === 'open';
 }
 
@@ -75,7 +78,7 @@
 );
 
 Then(
-  'a head is told to open only when every member is ready in just this forming',
+  'a head is ordered to open only when every member is ready in the same epoch',
   function (this: PlanningWorld) {
     for (const { after, view, orders } of this.rounds) {
       for (const { to, order } of orders) {
@@ -110,7 +113,7 @@
 });
 
 Then(
-  'the instance is told to leave and is in no group of the plan',
+  'the instance is ordered to leave and is in no group of the plan',
   function (this: PlanningWorld) {
     const [round] = this.rounds;
     assert.ok(round);
@@ -138,7 +141,7 @@
   this.split = splitDomains(this.domains, PROFILE.models);
 });
 
-Then('no domain is promised more instances than it has', function (this: PlanningWorld) {
+Then('no domain is assigned more instances than it has', function (this: PlanningWorld) {
   for (const { domain, instances } of this.domains) {
     const targets = this.split.get(domain) ?? [];
     const used = targets.reduce((sum, { model, groups }) => sum + model.size * groups, 0);
@@ -178,7 +181,7 @@
 );
 
 Then(
-  /^its replicas are "([^"]+)", and (nobody|the head) is told to leave one$/,
+  /^its replicas are "([^"]+)", and (nobody|the head) is ordered to leave one$/,
   function (this: PlanningWorld, names: string, leaving: string) {
     const [round] = this.rounds;
     assert.ok(round);
--- a/src/controllers/groups/adopt.ts
+++ b/src/controllers/groups/adopt.ts
@@ -1,32 +1,32 @@
 /**
- * Groups that were formed under a plan which the store has lost.
+ * Adopts groups that were formed under a plan that the store has lost.
  *
- * No order is sent before its plan is stored, so an engine never has an epoch above the plan's last one,
- * unless the store has come back from an older copy. Guards against undoing, by that copy, what
- * serves: a whole group is taken into the plan as its members report it.
+ * Orders are sent only after their plan is stored, so an engine can report a later epoch than the plan
+ * only if the store was restored from an older copy. Complete groups are added to the plan as their
+ * members report them, so that serving groups are not disbanded.
  */
 import type { BackendServer } from '../../ports/index.js';
 import { toMember, type GroupPlan, type PlannedGroup } from './types.js';
 import type { DomainView } from './view.js';
 
-/** `plan` with all whole groups of later epochs; `plan` itself when there are none. */
-export function adoptFormed(plan: GroupPlan, view: DomainView): GroupPlan {
-  const later = [...view.servers.values()].filter(
+/** Adds all complete groups of later epochs to `plan`. Returns `plan` itself if there are none. */
+export function adoptFormedGroups(plan: GroupPlan, view: DomainView): GroupPlan {
+  const newerMembers = [...view.servers.values()].filter(
     ({ engine }) => (engine?.membership?.epoch ?? 0) > plan.lastEpoch,
   );
-  if (later.length === 0) return plan;
-  const adopted = [...groupByForming(later).values()].flatMap((members) => {
-    const group = describeGroup(members, view);
+  if (newerMembers.length === 0) return plan;
+  const adopted = [...groupByFormation(newerMembers).values()].flatMap((members) => {
+    const group = toCompleteGroup(members, view);
     return group ? [group] : [];
   });
   if (adopted.length === 0) return plan;
-  const taken = new Set(adopted.flatMap(({ members }) => members.map(({ id }) => id)));
-  const kept = plan.groups.filter(({ members }) => !members.some(({ id }) => taken.has(id)));
+  const adoptedIds = new Set(adopted.flatMap(({ members }) => members.map(({ id }) => id)));
+  const kept = plan.groups.filter(({ members }) => !members.some(({ id }) => adoptedIds.has(id)));
   const lastEpoch = Math.max(...adopted.map(({ epoch }) => epoch));
   return { lastEpoch, groups: [...kept, ...adopted] };
 }
 
-function groupByForming(servers: readonly BackendServer[]): Map<string, BackendServer[]> {
+function groupByFormation(servers: readonly BackendServer[]): Map<string, BackendServer[]> {
   const groups = new Map<string, BackendServer[]>();
   for (const server of servers) {
     const membership = server.engine?.membership;
@@ -37,20 +37,20 @@
   return groups;
 }
 
-/** The group of `servers`; undefined unless all its members are there and have formed it. */
-function describeGroup(
+/** The group that `servers` report; undefined unless it is complete and all members are ready. */
+function toCompleteGroup(
   servers: readonly BackendServer[],
   view: DomainView,
 ): PlannedGroup | undefined {
-  const members = [...servers].sort((one, other) => rankOf(one) - rankOf(other));
+  const members = [...servers].sort((a, b) => rankOf(a) - rankOf(b));
   const [head] = members;
   const membership = head?.engine?.membership;
   const model = view.profile.models.find(({ name }) => name === head?.engine?.model);
   if (membership === undefined || model === undefined) return undefined;
-  const isWhole =
+  const isComplete =
     members.length === model.size &&
     members.every((server, rank) => rankOf(server) === rank && hasFormed(server));
-  if (!isWhole) return undefined;
+  if (!isComplete) return undefined;
   const { group: name, epoch } = membership;
   return { name, epoch, model: model.name, members: members.map(toMember), closing: 'no' };
 }
--- a/src/controllers/groups/ownership.ts
+++ b/src/controllers/groups/ownership.ts
@@ -1,65 +1,63 @@
 /**
- * Which gateway plans the replicas of a fabric domain and sends their orders.
+ * Determines which gateway owns a fabric domain, that is, plans its replicas and sends the orders.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import { groupBy } from '../../core/collections/index.js';
 import { findByRendezvous } from '../membership/rendezvous.js';
 
-/**
- * The slowest news of another gateway take 600 ms, that between failure domains; a tick is added. After
- * this what it said last was said with the store back, if it hears the store at all.
- */
-export const PEERS_HEARD_MS: Milliseconds = 700;
+/** Time after which the state received from every peer is current: a cross-domain interval and a tick. */
+export const PEER_STATE_DELAY_MS: Milliseconds = 700;
 
-/** A gateway as one that asks for the owner knows it. */
+/** A gateway that may own fabric domains. */
 export interface OwnerCandidate {
   name: string;
   failureDomain: string;
   storeReachable: boolean;
 }
 
-/** What the gateway that asks knows of all others. */
-export interface KnownCandidates {
+/** One gateway's view of all candidates. */
+export interface OwnerFinderInput {
   self: Pick<OwnerCandidate, 'name' | 'failureDomain'>;
   peers: readonly OwnerCandidate[];
-  /** What they last said of their contact with the store is from after its return. */
-  isHeard: boolean;
+  /** Whether `storeReachable` of the peers was reported after the store became reachable. */
+  isPeerStateCurrent: boolean;
 }
 
-/** A fabric domain. */
+/** A service in a fabric domain. */
 export interface OwnedDomain {
-  /** Names the domain, alike at all gateways. */
+  /** Identifies the domain on all gateways. */
   key: string;
-  /** The failure domain that it lies in. */
+  /** The failure domain that contains it. */
   failureDomain: string;
 }
 
-/** Names the owner of each domain that it is asked for. */
+/** Returns the name of the gateway that owns a domain. */
 export type OwnerFinder = (domain: OwnedDomain) => string | undefined;
 
-/**
- * Whether what others last said of their contact with the store is from after its return, where the one
- * that asks has heard it without a break for `heardStoreForMs`.
- */
-export function areCandidatesHeard(heardStoreForMs: Milliseconds): boolean {
-  return heardStoreForMs >= PEERS_HEARD_MS;
+/** Whether the state of all peers was received since the store became reachable. */
+export function hasReceivedPeerState(storeReachableForMs: Milliseconds): boolean {
+  return storeReachableForMs >= PEER_STATE_DELAY_MS;
 }
 
 /**
- * The owner by rendezvous among all gateways that reach the store. Those in the domain's own failure
- * domain come before all others: orders are short there and cost nothing between failure domains.
+ * Selects owners by rendezvous hashing over the gateways that reach the store, preferring those in
+ * the same failure domain.
  *
- * Guards against a domain with many owners at the store's return: each gateway knows of all others
- * only that they did not reach it, and would send all orders by itself. Until they can have been
- * heard again, all that live are candidates, on whom all agree; the domains of one that stays cut
- * off wait for {@link PEERS_HEARD_MS} at most.
+ * Right after a store outage, every gateway still sees all others as disconnected and would own all
+ * domains. Until their state is current, all gateways are therefore candidates. Domains assigned to a
+ * gateway that is still disconnected have no owner for up to {@link PEER_STATE_DELAY_MS}.
  */
-export function createOwnerFinder({ self, peers, isHeard }: KnownCandidates): OwnerFinder {
-  const candidates = [self, ...peers.filter((peer) => peer.storeReachable || !isHeard)];
-  const all = candidates.map(({ name }) => name);
-  const near = groupBy(candidates, ({ failureDomain }) => failureDomain);
-  const nearNames = new Map(
-    [...near].map(([domain, list]) => [domain, list.map(({ name }) => name)]),
+export function createOwnerFinder({
+  self,
+  peers,
+  isPeerStateCurrent,
+}: OwnerFinderInput): OwnerFinder {
+  const candidates = [self, ...peers.filter((peer) => peer.storeReachable || !isPeerStateCurrent)];
+  const allNames = candidates.map(({ name }) => name);
+  const byFailureDomain = groupBy(candidates, ({ failureDomain }) => failureDomain);
+  const namesByFailureDomain = new Map(
+    [...byFailureDomain].map(([domain, list]) => [domain, list.map(({ name }) => name)]),
   );
-  return ({ key, failureDomain }) => findByRendezvous(nearNames.get(failureDomain) ?? all, key);
+  return ({ key, failureDomain }) =>
+    findByRendezvous(namesByFailureDomain.get(failureDomain) ?? allNames, key);
 }
--- a/src/controllers/groups/revise.ts
+++ b/src/controllers/groups/revise.ts
@@ -1,121 +1,126 @@
 /**
- * The next plan of a fabric domain: groups that lost a member are taken apart, groups that are gone
- * are dropped, and free instances form the groups that are missing.
+ * Computes the next plan of a fabric domain: closes groups that lost a member, removes groups that are
+ * disbanded and forms missing groups from free instances.
  *
- * Guards against an instance in two groups and against a group that serves with a member missing.
- * A plan is stored under a condition before any of its orders is sent, so of two planners that do
- * not know of each other one fails to store. An instance is free only when it reports no group at
- * all, so that a head which still accepts requests never loses a member to another group. Every
- * forming has a higher epoch than all before it in the domain: an order that arrives late is refused
- * by each engine that has seen a newer one.
+ * The following rules ensure that no instance is in two groups and no group serves without a member:
+ * - A plan is stored by a conditional write before its orders are sent, so that of two concurrent
+ *   planners only one succeeds.
+ * - An instance is free only if it reports no group, so that a head that still accepts requests never
+ *   loses a member to another group.
+ * - Each new group has a higher epoch than all earlier ones in the domain, so that engines can refuse
+ *   outdated orders.
  */
 import type { BackendServer, GroupModel } from '../../ports/index.js';
-import { adoptFormed } from './adopt.js';
+import { adoptFormedGroups } from './adopt.js';
 import type { GroupTarget } from './targets.js';
 import { toMember, type GroupPlan, type PlannedGroup } from './types.js';
 import {
-  countGroups,
-  hasAtHand,
-  isHeard,
-  isOtherLife,
+  countActiveGroups,
+  hasWeights,
+  isResponsive,
+  isOtherIncarnation,
   isUsable,
-  listFree,
+  listFreeInstances,
   membershipIn,
   type DomainView,
 } from './view.js';
 
-/** The plan that should be stored next; `plan` itself when nothing has to change. */
+/** The plan to store next; `stored` itself if nothing has to change. */
 export function revisePlan(stored: GroupPlan, view: DomainView): GroupPlan {
-  const plan = adoptFormed(stored, view);
-  const kept = plan.groups
-    .filter((group) => !isGone(group, view))
-    .map((group) => ({ ...group, closing: judgeClosing(group, view) }));
+  const plan = adoptFormedGroups(stored, view);
+  const groups = plan.groups
+    .filter((group) => !isDisbanded(group, view))
+    .map((group) => ({ ...group, closing: nextClosing(group, view) }));
   const isChanged =
-    kept.length < plan.groups.length ||
-    kept.some(({ closing }, index) => closing !== plan.groups[index]?.closing);
-  const cleaned = isChanged ? { ...plan, groups: kept } : plan;
-  return formMissing(cleaned, view);
+    groups.length < plan.groups.length ||
+    groups.some(({ closing }, index) => closing !== plan.groups[index]?.closing);
+  const updated = isChanged ? { ...plan, groups } : plan;
+  return formMissingGroups(updated, view);
 }
 
-/** Nobody who is heard belongs to it any more. */
-function isGone(group: PlannedGroup, view: DomainView): boolean {
+/** Whether a closing group has no responsive member left. */
+function isDisbanded(group: PlannedGroup, view: DomainView): boolean {
   if (group.closing === 'no') return false;
   return group.members.every(
-    ({ id }) => !isHeard(view, id) || membershipIn(view, group, id) === undefined,
+    ({ id }) => !isResponsive(view, id) || membershipIn(view, group, id) === undefined,
   );
 }
 
-function judgeClosing(group: PlannedGroup, view: DomainView): PlannedGroup['closing'] {
+function nextClosing(group: PlannedGroup, view: DomainView): PlannedGroup['closing'] {
   if (group.closing === 'preempt') return 'preempt';
-  const isCut = group.members.some(
+  const hasLostMember = group.members.some(
     (member) =>
-      !view.servers.has(member.id) || view.lost.has(member.id) || isOtherLife(view, member),
+      !view.servers.has(member.id) || view.lost.has(member.id) || isOtherIncarnation(view, member),
   );
   const [head] = group.members;
   const isBroken = head !== undefined && membershipIn(view, group, head.id)?.state === 'broken';
-  if (isCut || isBroken || view.failed.has(group.name)) return 'preempt';
+  if (hasLostMember || isBroken || view.failedGroups.has(group.name)) return 'preempt';
   if (group.closing === 'drain') return 'drain';
   return group.members.every(({ id }) => isUsable(view, id)) ? 'no' : 'drain';
 }
 
 /**
- * One change at a time: a group of a model that has too few; else a surplus group is given up so that
- * its members can make good the lack; else, where instances are left over that no such group can use,
- * one more group of another model. The last comes last because it is hard to undo: an instance that
- * joins by a warm load has the weights of one model only from then on.
+ * Makes at most one change, in this order of preference: drains a group with a slow member, forms a
+ * group of a model below its target, drains surplus groups whose members are needed for that, or forms
+ * an extra group from instances that no model below its target can use. The extra group comes last
+ * because it is hard to undo: after a warm load, an instance has the weights of only one model.
  */
-function formMissing(plan: GroupPlan, view: DomainView): GroupPlan {
+function formMissingGroups(plan: GroupPlan, view: DomainView): GroupPlan {
   const { targets } = view;
-  const free = listFree(view, plan);
-  const relieved = replaceSlow(plan, view, free);
-  if (relieved !== plan) return relieved;
-  const lacking = targets
-    .filter((target) => countGroups(plan, target.model) < target.groups)
-    .sort((a, b) => fillOf(a, plan) - fillOf(b, plan) || b.model.size - a.model.size);
-  for (const { model } of lacking) {
+  const free = listFreeInstances(view, plan);
+  const withoutSlow = drainSlowGroup(plan, view, free);
+  if (withoutSlow !== plan) return withoutSlow;
+  const underTarget = targets
+    .filter((target) => countActiveGroups(plan, target.model) < target.groups)
+    .sort((a, b) => fillRatio(a, plan) - fillRatio(b, plan) || b.model.size - a.model.size);
+  for (const { model } of underTarget) {
     const members = pickMembers(free, model, view);
     if (members) return addGroup(plan, view, model, members);
   }
-  // Instances still appear and load: what is left over now has its use in a moment.
-  if (lacking.length === 0 || view.beforeTraffic) return plan;
-  const givenUp = giveUpSurplus(plan, view, lacking, free);
-  if (givenUp !== plan || isClosing(plan)) return givenUp;
-  const extra = [...targets].sort((a, b) => fillOf(a, plan) - fillOf(b, plan));
-  for (const { model } of extra) {
+  // Before there is traffic, instances are still starting and loading, so extra groups are premature.
+  if (underTarget.length === 0 || view.beforeTraffic) return plan;
+  const withoutSurplus = drainSurplus(plan, view, underTarget, free);
+  if (withoutSurplus !== plan || hasClosingGroup(plan)) return withoutSurplus;
+  const byFillRatio = [...targets].sort((a, b) => fillRatio(a, plan) - fillRatio(b, plan));
+  for (const { model } of byFillRatio) {
     const members = pickMembers(free, model, view);
     if (members) return addGroup(plan, view, model, members);
   }
   return plan;
 }
 
-/** A group with a slow member finishes what it has and is formed anew, if there is somebody to take its place. */
-function replaceSlow(plan: GroupPlan, view: DomainView, free: readonly BackendServer[]): GroupPlan {
-  if (view.slow.size === 0 || isClosing(plan)) return plan;
+/** Drains a group with a slow member if the group can be formed again without it. */
+function drainSlowGroup(
+  plan: GroupPlan,
+  view: DomainView,
+  free: readonly BackendServer[],
+): GroupPlan {
+  if (view.slow.size === 0 || hasClosingGroup(plan)) return plan;
   const group = plan.groups.find(({ model, members }) => {
     const size = members.length;
-    const good = members.flatMap(({ id }) =>
+    const fast = members.flatMap(({ id }) =>
       view.slow.has(id) ? [] : (view.servers.get(id) ?? []),
     );
-    if (good.length === size) return false;
+    if (fast.length === size) return false;
     const profile = view.profile.models.find(({ name }) => name === model);
     const spare = free.filter(({ id }) => !view.slow.has(id));
-    return profile !== undefined && pickMembers([...good, ...spare], profile, view) !== undefined;
+    return profile !== undefined && pickMembers([...fast, ...spare], profile, view) !== undefined;
   });
   return group === undefined ? plan : drainGroups(plan, [group]);
 }
 
-/** Members of a group that is being taken apart come free in a moment. */
-function isClosing(plan: GroupPlan): boolean {
+/** Whether a group is closing, so that its members will be free soon. */
+function hasClosingGroup(plan: GroupPlan): boolean {
   return plan.groups.some(({ closing }) => closing !== 'no');
 }
 
-/** Part of its target that a model has; a model without a target has more than enough. */
-function fillOf({ model, groups }: GroupTarget, plan: GroupPlan): number {
-  const count = countGroups(plan, model);
+/** Fraction of its target that a model has reached. A model with a target of 0 counts as above it. */
+function fillRatio({ model, groups }: GroupTarget, plan: GroupPlan): number {
+  const count = countActiveGroups(plan, model);
   return groups > 0 ? count / groups : count + 1;
 }
 
-/** `plan` with `chosen` told to finish what they have; their members come free then. */
+/** Marks the `chosen` groups as draining, so that they finish their requests and free their members. */
 function drainGroups(plan: GroupPlan, chosen: readonly PlannedGroup[]): GroupPlan {
   const groups = plan.groups.map((group) =>
     chosen.includes(group) ? { ...group, closing: 'drain' as const } : group,
@@ -123,69 +128,69 @@
   return { ...plan, groups };
 }
 
-function giveUpSurplus(
+function drainSurplus(
   plan: GroupPlan,
   view: DomainView,
-  lacking: readonly GroupTarget[],
+  underTarget: readonly GroupTarget[],
   free: readonly BackendServer[],
 ): GroupPlan {
-  if (isClosing(plan)) return plan;
+  if (hasClosingGroup(plan)) return plan;
   const surplus = view.targets.flatMap(({ model, groups }) =>
     plan.groups
       .filter((group) => group.model === model.name)
-      .slice(0, Math.max(0, countGroups(plan, model) - groups)),
+      .slice(0, Math.max(0, countActiveGroups(plan, model) - groups)),
   );
-  for (const { model } of lacking) {
-    const givenUp = pickSurplus(surplus, free, model, view);
-    if (givenUp !== undefined) return drainGroups(plan, givenUp);
+  for (const { model } of underTarget) {
+    const drained = pickSurplus(surplus, free, model, view);
+    if (drained !== undefined) return drainGroups(plan, drained);
   }
   return plan;
 }
 
-/** The fewest of `surplus`, in their order, whose members with those free make a group of `model`. */
+/** The shortest prefix of `surplus` whose members and `free` can form a group of `model`. */
 function pickSurplus(
   surplus: readonly PlannedGroup[],
   free: readonly BackendServer[],
   model: GroupModel,
   view: DomainView,
 ): PlannedGroup[] | undefined {
-  const picked: PlannedGroup[] = [];
+  const selected: PlannedGroup[] = [];
   for (const group of surplus) {
-    picked.push(group);
-    const members = picked.flatMap((each) => each.members.map(({ id }) => id));
+    selected.push(group);
+    const members = selected.flatMap((each) => each.members.map(({ id }) => id));
     const servers = members.flatMap((id) => view.servers.get(id) ?? []);
-    if (pickMembers([...free, ...servers], model, view)) return picked;
+    if (pickMembers([...free, ...servers], model, view)) return selected;
   }
   return undefined;
 }
 
 /**
- * The members that a group of `model` would be ready with soonest. Once there is traffic, only those
- * with the weights at hand: others get them first, and hold up nobody meanwhile.
+ * The members with which a group of `model` would be ready soonest; undefined if there are too few.
+ * Once there is traffic, only instances that have the weights are eligible.
  */
 function pickMembers(
   free: readonly BackendServer[],
   model: GroupModel,
   view: DomainView,
 ): BackendServer[] | undefined {
-  const able = free.filter((server) => view.beforeTraffic || hasAtHand(server, model));
-  if (able.length < model.size) return undefined;
-  const ranked = [...able].sort(
+  const eligible = free.filter((server) => view.beforeTraffic || hasWeights(server, model));
+  if (eligible.length < model.size) return undefined;
+  const ranked = [...eligible].sort(
     (a, b) =>
       Number(view.slow.has(a.id)) - Number(view.slow.has(b.id)) ||
-      joinEffort(a, model) - joinEffort(b, model) ||
-      countModels(a) - countModels(b),
+      joinCost(a, model) - joinCost(b, model) ||
+      countJoinableModels(a) - countJoinableModels(b),
   );
   return ranked.slice(0, model.size);
 }
 
-/** Models that an instance can join soon; those with only one are used first. */
-function countModels({ engine }: BackendServer): number {
+/** Number of models that an instance has the weights of. Instances with fewer are used first. */
+function countJoinableModels({ engine }: BackendServer): number {
   return new Set([...(engine?.staged ?? []), engine?.lastModel].filter(Boolean)).size;
 }
 
-/** Lower joins sooner: the model in memory, on the host, nothing there, another model there. */
-function joinEffort({ engine }: BackendServer, model: GroupModel): number {
+/** Ranks instances by weights: in memory, on the host, none staged, another model staged. */
+function joinCost({ engine }: BackendServer, model: GroupModel): number {
   if (engine?.lastModel === model.name) return 0;
   if (engine?.staged.includes(model.name)) return 1;
   return engine === undefined || engine.staged.length === 0 ? 2 : 3;
@@ -197,8 +202,10 @@
   model: GroupModel,
   members: readonly BackendServer[],
 ): GroupPlan {
-  const seen = [...view.servers.values()].map(({ engine }) => engine?.membership?.epoch ?? 0);
-  const epoch = Math.max(plan.lastEpoch, ...seen) + 1;
+  const reportedEpochs = [...view.servers.values()].map(
+    ({ engine }) => engine?.membership?.epoch ?? 0,
+  );
+  const epoch = Math.max(plan.lastEpoch, ...reportedEpochs) + 1;
   const [head] = members;
   const group: PlannedGroup = {
     name: `${head?.engine?.fabricDomain ?? 'domain'}.${epoch}`,
--- a/src/controllers/groups/targets.ts
+++ b/src/controllers/groups/targets.ts
@@ -1,43 +1,40 @@
 /**
- * How many replicas of each model the fabric domains of a service should have.
+ * Computes how many replicas of each model the fabric domains of a service should have.
  */
 import { groupBy } from '../../core/collections/index.js';
 import type { GroupModel } from '../../ports/index.js';
 
-/** Wanted replicas of one model. */
+/** Target number of replicas of one model. */
 export interface GroupTarget {
   model: GroupModel;
   groups: number;
 }
 
-/** One fabric domain as the split sees it. */
+/** Capacity of one fabric domain. */
 export interface DomainCapacity {
   domain: string;
-  /** The failure domain that it lies in. */
+  /** The failure domain that contains it. */
   failureDomain: string;
-  /** Instances that can take part in a replica now. */
+  /** Number of instances that can be members of a replica now. */
   instances: number;
-  /** Replicas that are there, by model. */
+  /** Number of existing replicas by model. */
   groups: ReadonlyMap<string, number>;
 }
 
-/** The targets of each domain, by its name. */
+/** Targets by domain name. */
 export type DomainTargets = ReadonlyMap<string, readonly GroupTarget[]>;
 
 /**
- * Splits the instances of all domains between `models` by their configured shares, and the replicas of
- * each model among the domains.
+ * Splits the instances of all domains between `models` by their configured shares, and distributes the
+ * replicas of each model among the domains.
  *
- * All domains are split together, because a domain of ten instances alone could only give a model of
- * four instances none, four or eight of them. Domains that have replicas of a model keep them first,
- * so that a change of the split moves as few instances as it can. New ones go to the failure domain
- * with the fewest, and there to the domain with the fewest: the loss of one domain then takes the
- * least of a model. Domains that share the large model also leave fewer of its instances over, but
- * lose its last replica together; in trials that cost more.
+ * All domains are split together, because the shares can't be met in a small domain alone. Existing
+ * replicas are kept first to move as few instances as possible. New ones go to the failure domain with
+ * the fewest replicas of the model, and there to the fabric domain with the fewest, to limit the effect
+ * of losing a domain.
  *
- * Nothing is kept free: an instance that serves in a replica of the small model, with the weights of
- * the large one on its host, replaces a lost member as soon as an idle one would, and serves until
- * then.
+ * No instance is kept idle as a spare: a member of a replica of a small model with the weights of a
+ * large one on its host can replace a lost member just as fast.
  *
  * @example
  * const domain = { domain: 'fabric-1', failureDomain: 'north', instances: 10, groups: new Map() };
@@ -47,126 +44,126 @@
   domains: readonly DomainCapacity[],
   models: readonly GroupModel[],
 ): DomainTargets {
-  // All gateways must come to the same split from the same fleet.
+  // All gateways must compute the same split from the same fleet.
   const ordered = [...domains].sort((a, b) => (a.domain < b.domain ? -1 : 1));
-  const wanted = countGroups(ordered, models);
-  const left = new Map(ordered.map(({ domain, instances }) => [domain, instances]));
+  const groupCounts = countGroups(ordered, models);
+  const remaining = new Map(ordered.map(({ domain, instances }) => [domain, instances]));
   const targets = new Map<string, GroupTarget[]>(ordered.map(({ domain }) => [domain, []]));
   const bySize = [...models].sort((a, b) => b.size - a.size);
   for (const model of bySize) {
-    const counts = placeGroups(model, wanted.get(model.name) ?? 0, ordered, left);
+    const counts = placeGroups(model, groupCounts.get(model.name) ?? 0, ordered, remaining);
     for (const [domain, groups] of counts) targets.get(domain)?.push({ model, groups });
   }
-  // What no target could use makes more of the smallest model, which fits in anywhere.
+  // Use the remaining instances for the smallest model.
   const smallest = bySize.at(-1);
-  if (smallest) addLeftOver(smallest, targets, left);
+  if (smallest) fillRemaining(smallest, targets, remaining);
   return targets;
 }
 
-/** Replicas of each model in all domains: each step gives one to the model with the least for its share. */
+/** Number of replicas per model. Each step adds one to the model furthest below its share. */
 function countGroups(
   domains: readonly DomainCapacity[],
   models: readonly GroupModel[],
 ): ReadonlyMap<string, number> {
   const counts = new Map(models.map(({ name }) => [name, 0]));
-  const fill = ({ name, size, share }: GroupModel): number =>
+  const fillRatio = ({ name, size, share }: GroupModel): number =>
     ((counts.get(name) ?? 0) * size) / share;
-  let left = domains.reduce((sum, { instances }) => sum + instances, 0);
+  let remaining = domains.reduce((sum, { instances }) => sum + instances, 0);
   for (;;) {
-    const able = models.filter(({ size, share }) => size <= left && share > 0);
-    const next = findFirst(able, (a, b) => fill(a) - fill(b) || b.size - a.size);
+    const eligible = models.filter(({ size, share }) => size <= remaining && share > 0);
+    const next = findFirst(eligible, (a, b) => fillRatio(a) - fillRatio(b) || b.size - a.size);
     if (next === undefined) return counts;
     counts.set(next.name, (counts.get(next.name) ?? 0) + 1);
-    left -= next.size;
+    remaining -= next.size;
   }
 }
 
-/** A domain while the replicas of one model are placed. */
-interface DomainPlacing {
+/** State of a domain while the replicas of one model are placed. */
+interface DomainPlacement {
   domain: string;
-  /** Instances that no replica has. */
-  left: number;
-  /** Replicas that it has already, and keeps first. */
+  /** Instances that are not in a replica yet. */
+  remaining: number;
+  /** Existing replicas, which are kept first. */
   existing: number;
   placed: number;
-  failureDomain: FailureDomainPlacing;
+  failureDomain: FailureDomainPlacement;
 }
 
-/** The domains of one failure domain while the replicas of one model are placed. */
-interface FailureDomainPlacing {
+/** State of a failure domain while the replicas of one model are placed. */
+interface FailureDomainPlacement {
   placed: number;
-  /** Those with the instances for one replica more. */
-  open: DomainPlacing[];
-  /** Where its next replica should go; only a replica placed here changes it. */
-  best: DomainPlacing | undefined;
+  /** Domains with enough instances for another replica. */
+  open: DomainPlacement[];
+  /** Domain for the next replica. Changes only when a replica is placed in this failure domain. */
+  best: DomainPlacement | undefined;
 }
 
-/** Gives `groups` of `model` to the domains in turn; `left` is reduced by what they take. */
+/** Places `groups` replicas of `model` on the domains, and reduces `remaining` accordingly. */
 function placeGroups(
   model: GroupModel,
   groups: number,
   domains: readonly DomainCapacity[],
-  left: Map<string, number>,
+  remaining: Map<string, number>,
 ): ReadonlyMap<string, number> {
-  const failureDomains = beginPlacing(model, domains, left);
+  const failureDomains = createPlacements(model, domains, remaining);
   const counts = new Map(domains.map(({ domain }) => [domain, 0]));
   for (let placed = 0; placed < groups; placed += 1) {
-    const bests = failureDomains.flatMap(({ best }) => best ?? []);
-    const next = findFirst(bests, compareDomains);
+    const candidates = failureDomains.flatMap(({ best }) => best ?? []);
+    const next = findFirst(candidates, compareDomains);
     if (next === undefined) break;
-    placeOne(next, model);
+    placeGroup(next, model);
     counts.set(next.domain, next.placed);
-    left.set(next.domain, next.left);
+    remaining.set(next.domain, next.remaining);
   }
   return counts;
 }
 
-function beginPlacing(
+function createPlacements(
   model: GroupModel,
   domains: readonly DomainCapacity[],
-  left: ReadonlyMap<string, number>,
-): FailureDomainPlacing[] {
+  remaining: ReadonlyMap<string, number>,
+): FailureDomainPlacement[] {
   return [...groupBy(domains, ({ failureDomain }) => failureDomain).values()].map((members) => {
-    const shared: FailureDomainPlacing = { placed: 0, open: [], best: undefined };
+    const shared: FailureDomainPlacement = { placed: 0, open: [], best: undefined };
     for (const { domain, groups } of members) {
       const existing = groups.get(model.name) ?? 0;
-      const free = left.get(domain) ?? 0;
-      const placing = { domain, left: free, existing, placed: 0, failureDomain: shared };
-      if (free >= model.size) shared.open.push(placing);
+      const free = remaining.get(domain) ?? 0;
+      const placement = { domain, remaining: free, existing, placed: 0, failureDomain: shared };
+      if (free >= model.size) shared.open.push(placement);
     }
     shared.best = findFirst(shared.open, compareDomains);
     return shared;
   });
 }
 
-function placeOne(placing: DomainPlacing, model: GroupModel): void {
-  const { failureDomain } = placing;
-  placing.placed += 1;
-  placing.left -= model.size;
+function placeGroup(placement: DomainPlacement, model: GroupModel): void {
+  const { failureDomain } = placement;
+  placement.placed += 1;
+  placement.remaining -= model.size;
   failureDomain.placed += 1;
-  if (placing.left < model.size) {
-    failureDomain.open = failureDomain.open.filter((each) => each !== placing);
+  if (placement.remaining < model.size) {
+    failureDomain.open = failureDomain.open.filter((each) => each !== placement);
   }
   failureDomain.best = findFirst(failureDomain.open, compareDomains);
 }
 
-/** Negative when the next replica should rather go to `a`. */
-function compareDomains(a: DomainPlacing, b: DomainPlacing): number {
+/** Negative if `a` is preferred for the next replica. */
+function compareDomains(a: DomainPlacement, b: DomainPlacement): number {
   return (
-    Number(isKeeping(b)) - Number(isKeeping(a)) ||
+    Number(hasGroupToKeep(b)) - Number(hasGroupToKeep(a)) ||
     a.failureDomain.placed - b.failureDomain.placed ||
     a.placed - b.placed ||
-    b.left - a.left ||
+    b.remaining - a.remaining ||
     (a.domain < b.domain ? -1 : 1)
   );
 }
 
-/** It has a replica that it would lose if no further one were placed there. */
-function isKeeping({ existing, placed }: DomainPlacing): boolean {
+/** Whether the domain would lose an existing replica if no further one were placed there. */
+function hasGroupToKeep({ existing, placed }: DomainPlacement): boolean {
   return existing > placed;
 }
 
-/** What a stable sort by `compare` would put first. */
+/** The item that a stable sort by `compare` would put first. */
 function findFirst<Item>(
   items: readonly Item[],
   compare: (a: Item, b: Item) => number,
@@ -176,13 +173,13 @@
   return first;
 }
 
-function addLeftOver(
+function fillRemaining(
   model: GroupModel,
   targets: ReadonlyMap<string, GroupTarget[]>,
-  left: ReadonlyMap<string, number>,
+  remaining: ReadonlyMap<string, number>,
 ): void {
   for (const [domain, list] of targets) {
     const target = list.find((entry) => entry.model === model);
-    if (target) target.groups += Math.floor((left.get(domain) ?? 0) / model.size);
+    if (target) target.groups += Math.floor((remaining.get(domain) ?? 0) / model.size);
   }
 }
--- a/src/controllers/groups/view.ts
+++ b/src/controllers/groups/view.ts
@@ -1,5 +1,5 @@
 /**
- * What a planner knows of one fabric domain at one moment.
+ * A planner's snapshot of one fabric domain, with queries on it.
  */
 import type {
   BackendServer,
@@ -10,31 +10,28 @@
 import type { GroupTarget } from './targets.js';
 import type { GroupMember, GroupPlan, PlannedGroup } from './types.js';
 
-/** The instances of one fabric domain and service, and what orders and probes showed of them. */
+/** The instances of one service in one fabric domain, with the results of orders and probes. */
 export interface DomainView {
   profile: EngineProfile;
-  /** How many replicas of each model the domain should have. */
+  /** Target number of replicas of each model in the domain. */
   targets: readonly GroupTarget[];
-  /** By id; only instances whose own entries are known. */
+  /** Instances with a store entry, by id. */
   servers: ReadonlyMap<string, BackendServer>;
-  /** Instances that answer no probe, although their entries may still be there. */
+  /** Instances that don't answer probes, although they may still have a store entry. */
   lost: ReadonlySet<string>;
-  /** Instances that have turned slow: a replica runs at the pace of its slowest member. */
+  /** Slow instances. A replica runs at the pace of its slowest member. */
   slow: ReadonlySet<string>;
-  /** Instances that bring weights to their hosts now. */
+  /** Instances that are staging weights on their hosts. */
   staging: ReadonlySet<string>;
-  /** Loads that the domain may have under way; more would slow down those of all domains. */
+  /** Maximum number of concurrent loads in the domain. More would slow down loads in all domains. */
   loadSlots: number;
-  /**
-   * No gateway has seen a request yet: loads disturb nobody, and weights may go to every host ahead
-   * of need.
-   */
+  /** Whether no gateway has received a request yet, so that loads are not limited. */
   beforeTraffic: boolean;
-  /** Groups that an engine refused for good, or whose work stands still with all members there. */
-  failed: ReadonlySet<string>;
+  /** Groups that an engine refused permanently, or that are stuck although all members respond. */
+  failedGroups: ReadonlySet<string>;
 }
 
-/** The membership that `id` reports, if it is one of `group` in just this forming. */
+/** The membership that `id` reports, if it belongs to `group` with the same epoch. */
 export function membershipIn(
   view: DomainView,
   group: PlannedGroup,
@@ -45,29 +42,26 @@
   return isSame ? membership : undefined;
 }
 
-/**
- * Whether `member` has ended and another life has begun under its id. That one holds nothing of the
- * group, whatever its entry says: the group has lost a member.
- */
-export function isOtherLife(view: DomainView, { id, startedAt }: GroupMember): boolean {
+/** Whether `member` has restarted under its id, in which case the group has lost a member. */
+export function isOtherIncarnation(view: DomainView, { id, startedAt }: GroupMember): boolean {
   const server = view.servers.get(id);
   if (server === undefined || startedAt === undefined) return false;
   return server.startedAt !== startedAt;
 }
 
-/** Whether `id` may take part in a group. */
+/** Whether `id` can be a member of a group. */
 export function isUsable(view: DomainView, id: string): boolean {
   const server = view.servers.get(id);
   return server !== undefined && !server.leaving && !view.lost.has(id);
 }
 
-/** Ids of all members of all groups of `plan`. */
-function listPlanned(plan: GroupPlan): Set<string> {
+/** Ids of the members of all groups in `plan`. */
+function listPlannedIds(plan: GroupPlan): Set<string> {
   return new Set(plan.groups.flatMap(({ members }) => members.map(({ id }) => id)));
 }
 
-/** Instances that report a group which `plan` does not have. They must leave it before they join another. */
-export function listStrays(view: DomainView, plan: GroupPlan): BackendServer[] {
+/** Instances that report a group missing from `plan`. They must leave it before they join another. */
+export function listOrphans(view: DomainView, plan: GroupPlan): BackendServer[] {
   const planned = new Set(plan.groups.map(({ name }) => name));
   return [...view.servers.values()].filter(({ id, engine }) => {
     const group = engine?.membership?.group;
@@ -75,26 +69,26 @@
   });
 }
 
-/** Instances that no group has and that may join one, in the order of their ids. */
-export function listFree(view: DomainView, plan: GroupPlan): BackendServer[] {
-  const planned = listPlanned(plan);
+/** Usable instances without a group, sorted by id. */
+export function listFreeInstances(view: DomainView, plan: GroupPlan): BackendServer[] {
+  const planned = listPlannedIds(plan);
   return [...view.servers.values()]
     .filter(({ id }) => isUsable(view, id) && !planned.has(id))
     .filter(({ engine }) => engine?.membership === undefined)
     .sort((a, b) => (a.id < b.id ? -1 : 1));
 }
 
-/** Whether `id` is known and answers. */
-export function isHeard(view: DomainView, id: string): boolean {
+/** Whether `id` has a store entry and is not lost. */
+export function isResponsive(view: DomainView, id: string): boolean {
   return view.servers.has(id) && !view.lost.has(id);
 }
 
-/** Groups of `model` in `plan` that are not being taken apart. */
-export function countGroups(plan: GroupPlan, model: GroupModel): number {
+/** Number of groups of `model` in `plan` that are not closing. */
+export function countActiveGroups(plan: GroupPlan, model: GroupModel): number {
   return plan.groups.filter((group) => group.model === model.name && group.closing === 'no').length;
 }
 
 /** Whether a server has the weights of `model` in memory or on its host. */
-export function hasAtHand({ engine }: BackendServer, model: GroupModel): boolean {
+export function hasWeights({ engine }: BackendServer, model: GroupModel): boolean {
   return engine?.lastModel === model.name || engine?.staged.includes(model.name) === true;
 }
--- a/src/gateway/groups/domain-controller.ts
+++ b/src/gateway/groups/domain-controller.ts
@@ -148,7 +148,7 @@
     staging: listStagingInstances(state),
     loadSlots: state.loadSlots,
     beforeTraffic: state.beforeTraffic,
-    failed: new Set([...refusedGroups, ...memberMonitor.stuckGroups]),
+    failedGroups: new Set([...refusedGroups, ...memberMonitor.stuckGroups]),
   });
   const checkSuspectGroups = (plan: GroupPlan): void => {
     const now = clock.now();
--- a/src/gateway/groups/groups-part.ts
+++ b/src/gateway/groups/groups-part.ts
@@ -2,9 +2,9 @@
  * Distributes the fabric domains among the gateways and reconciles those owned by this one.
  */
 import {
-  areCandidatesHeard,
+  hasReceivedPeerState,
   createOwnerFinder,
-  PEERS_HEARD_MS,
+  PEER_STATE_DELAY_MS,
   splitDomains,
   type DomainCapacity,
   type OwnerFinder,
@@ -59,7 +59,7 @@
       return createOwnerFinder({
         self: { name, failureDomain },
         peers: [...peers.values()],
-        isHeard: isPeerStateCurrent,
+        isPeerStateCurrent,
       });
     },
   );
@@ -73,7 +73,7 @@
   };
   const getOwnerFinder = (): OwnerFinder => {
     const storeReachableForMs = clock.now() - board.storeContact.read().since;
-    return memoizedOwnerFinder(board.peers.read(), areCandidatesHeard(storeReachableForMs));
+    return memoizedOwnerFinder(board.peers.read(), hasReceivedPeerState(storeReachableForMs));
   };
   const listDomains = (): readonly ServiceDomain[] => {
     const services = board.serving.read()?.services;
@@ -93,7 +93,7 @@
     // After the store was restored, serving engines look free until they rewrite their entries.
     if (options.contact.isSettling()) return;
     // Wait until the state of the other gateways is known before taking domains.
-    if (clock.now() - startedAt < PEERS_HEARD_MS) return;
+    if (clock.now() - startedAt < PEER_STATE_DELAY_MS) return;
     const ownerOf = getOwnerFinder();
     const domains = listDomains();
     for (const domain of domains) {
