--- a/features/gateway/store-copy.feature
+++ b/features/gateway/store-copy.feature
@@ -9,7 +9,7 @@
     And a server is added
     Then every gateway sends to it within 2000 ms
 
-  # The restore loses the acknowledged change of its state until the server writes it again.
+  # The restore loses the acknowledged leaving or removal of the server until it is written again.
   Scenario Outline: A server that <left> is not sent to again
     Given a site with 2 plain server and 3 ready gateways
     And the store keeps a copy, and the first server <leaves>
@@ -19,9 +19,9 @@
     Then every gateway sends to it within 2000 ms
 
     Examples:
-      | left        | leaves                      | comes back    |
+      | left        | leaves                       | comes back    |
       | was leaving | announces that it is leaving | starts again  |
-      | was gone    | goes                        | writes again  |
+      | was gone    | goes                         | writes again  |
 
   Scenario: A key that was taken away stays away
     Given a site with 2 plain server and 3 ready gateways
