--- a/features/gateway/decisions.steps.ts
+++ b/features/gateway/decisions.steps.ts
@@ -56,15 +56,15 @@
   stopAt: number,
 ): string {
   const bytes = Buffer.from(text).subarray(0, stopAt);
-  let passed = '';
-  for (let start = 0, piece = 0; start < bytes.length; piece += 1) {
-    const end = start + (sizes[piece % sizes.length] ?? 1);
-    const part = stream.push(bytes.subarray(start, end));
-    if (part.kind === 'gap') return 'an event is missing';
-    passed += part.bytes.toString();
+  let output = '';
+  for (let start = 0, index = 0; start < bytes.length; index += 1) {
+    const end = start + (sizes[index % sizes.length] ?? 1);
+    const chunk = stream.push(bytes.subarray(start, end));
+    if (chunk.kind === 'gap') return 'an event is missing';
+    output += chunk.bytes.toString();
     start = end;
   }
-  return passed;
+  return output;
 }
 
 When(
@@ -278,16 +278,16 @@
 When(
   /^a memoized function of two values is called with (.+)$/,
   function (this: DecisionWorld, pairs: string) {
-    let made = 0;
+    let computations = 0;
     const join = keepLatest((one: string, other: string) => {
-      made += 1;
+      computations += 1;
       return `${one} ${other}`;
     });
     this.results = [...pairs.matchAll(/"(\w) (\w)"/g)].map(([, one = '', other = '']) => ({
       expected: `${one} ${other}`,
       given: join(one, other),
     }));
-    this.computations = made;
+    this.computations = computations;
   },
 );
 
--- a/features/gateway/planning-model.ts
+++ b/features/gateway/planning-model.ts
@@ -98,10 +98,10 @@
   const state = STATES[draw() % STATES.length] ?? 'ready';
   const common = { staged, lastModel: draw() % 2 === 0 ? 'small' : 'large' };
   if (kind === 0) return { ...createServer(id, common), leaving };
-  const known = group ?? { name: 'unknown', epoch: 1, members: [] };
+  const reported = group ?? { name: 'unknown', epoch: 1, members: [] };
   const rank = group ? group.members.findIndex((member) => member.id === id) : 0;
   if (kind === 1 && !group) {
-    const membership = { group: known.name, epoch: known.epoch, rank, state };
+    const membership = { group: reported.name, epoch: reported.epoch, rank, state };
     return { ...createServer(id, { ...common, membership }), leaving };
   }
   if (!group) return { ...createServer(id, common), leaving };
--- a/features/gateway/planning.steps.ts
+++ b/features/gateway/planning.steps.ts
@@ -186,8 +186,8 @@
     const [round] = this.rounds;
     assert.ok(round);
     assert.equal(round.after.groups.map(({ name }) => name).join(), names);
-    const told = round.orders.flatMap(({ to, order }) => (order.kind === 'leave' ? [to.id] : []));
-    assert.deepEqual(told, leaving === 'nobody' ? [] : ['a']);
+    const ids = round.orders.flatMap(({ to, order }) => (order.kind === 'leave' ? [to.id] : []));
+    assert.deepEqual(ids, leaving === 'nobody' ? [] : ['a']);
   },
 );
 
--- a/src/controllers/peering/peer-table.ts
+++ b/src/controllers/peering/peer-table.ts
@@ -245,8 +245,8 @@
     if (hub !== self.name) return domainMembers.filter(({ name }) => name === hub);
     const otherDomains = roster.listDomains().filter((domain) => domain !== self.failureDomain);
     const hubs = otherDomains.flatMap((domain) => roster.get(roster.hubOf(domain)) ?? []);
-    const unheard = domainMembers.filter(({ name }) => !this.digests.has(name));
-    return [...hubs, ...unheard, ...unresolvedSeeds];
+    const unconfirmedMembers = domainMembers.filter(({ name }) => !this.digests.has(name));
+    return [...hubs, ...unconfirmedMembers, ...unresolvedSeeds];
   }
 
   /**
--- a/src/gateway/groups/groups-part.ts
+++ b/src/gateway/groups/groups-part.ts
@@ -65,8 +65,8 @@
   );
 
   const controllerFor = (key: string): DomainController => {
-    const known = controllers.get(key);
-    if (known) return known;
+    const existing = controllers.get(key);
+    if (existing) return existing;
     const created = createDomainController(options);
     controllers.set(key, created);
     return created;
--- a/src/gateway/peers/link.ts
+++ b/src/gateway/peers/link.ts
@@ -68,8 +68,8 @@
   const agent = new Agent({ connections: 2, pipelining: 1, connect: { timeout: CALL_TIMEOUT_MS } });
   const clients = new Map<string, TRPCClient<PeerRouter>>();
   const rpcClientFor = (address: string): TRPCClient<PeerRouter> => {
-    const known = clients.get(address);
-    if (known) return known;
+    const existing = clients.get(address);
+    if (existing) return existing;
     const created = createTRPCClient<PeerRouter>({
       links: [createRpcLink<PeerRouter>(address, agent)],
     });
