--- a/src/controllers/routing/dispatch.ts
+++ b/src/controllers/routing/dispatch.ts
@@ -6,8 +6,8 @@
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import type { Random } from '../../core/random/index.js';
 import { concludeGivenUp } from '../retries/given-up.js';
-import { believeSent } from './beliefs.js';
-import { chooseReplica, indexCandidates, indexPeers } from './choosing.js';
+import { believeSent } from './prefix-cache.js';
+import { chooseReplica, indexCandidates, indexPeers } from './replica-selection.js';
 import {
   ARRIVAL_MARGIN,
   LEAST_RETRY_MS,
@@ -16,13 +16,13 @@
   NO_CAPACITY_RETRY_MS,
   RECHECK_MS,
 } from './constants.js';
-import { crowdsOut, isAtCrowdLimit } from './crowding.js';
+import { crowdsOut, isAtCrowdLimit } from './noisy-neighbors.js';
 import type { Estimate } from './estimates.js';
 import { chargeLane, orderClasses, orderLanes, removeRequest } from './queues.js';
 import type { CandidateIndex, DispatchState, ModelQueue, SentRequest } from './state.js';
-import { forgetReplicas, openTrack, trackSend } from './tracks.js';
+import { forgetReplicas, openTrack, trackSend } from './replica-stats.js';
 import type { Dispatch, DispatchAction, DispatchView, WaitingRequest } from './types.js';
-import { countAhead, estimateAnswer, estimateRetryAfter, recordSend } from './waits.js';
+import { countAhead, estimateAnswer, estimateRetryAfter, recordSend } from './wait-estimates.js';
 
 /** Weight of the newest send in the mean part of prompts that is not cached. */
 const UNCACHED_RATE = 0.02;
--- a/src/controllers/routing/estimates.ts
+++ b/src/controllers/routing/estimates.ts
@@ -5,7 +5,7 @@
  */
 import type { SentCount } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
-import { countCachedTokens } from './beliefs.js';
+import { countCachedTokens } from './prefix-cache.js';
 import {
   BACKLOG_FRACTION,
   CROWDED_PREFILL_BACKLOG_MS,
@@ -20,7 +20,7 @@
   SAME_REGION_MS,
 } from './constants.js';
 import type { DispatchState, ReplicaTrack } from './state.js';
-import { backlogAt, currentSlowness, overdueMs, settleReport } from './tracks.js';
+import { backlogAt, currentSlowness, overdueMs, settleReport } from './replica-stats.js';
 import type { Candidate, DispatchView, Location, WaitingRequest } from './types.js';
 
 /** What one choice knows of one candidate. */
--- a/src/controllers/routing/queues.ts
+++ b/src/controllers/routing/queues.ts
@@ -12,8 +12,8 @@
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import { concludeGivenUp } from '../retries/given-up.js';
 import { CLASS_ORDER, STARVATION_FACTOR } from './constants.js';
-import { noteArrival } from './crowding.js';
-import { estimateRetryAfter } from './waits.js';
+import { noteArrival } from './noisy-neighbors.js';
+import { estimateRetryAfter } from './wait-estimates.js';
 import type { ClassQueue, DispatchState, Lane, ModelQueue } from './state.js';
 import type { WaitingRequest } from './types.js';
 
--- a/src/controllers/routing/choosing.ts
+++ b/src/controllers/routing/replica-selection.ts
@@ -9,7 +9,7 @@
 import type { SentCount } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Random } from '../../core/random/index.js';
-import { listHolders, longestKnown } from './beliefs.js';
+import { listHolders, longestKnown } from './prefix-cache.js';
 import {
   AFFINITY_SAMPLE,
   LOCAL_SAMPLE,
@@ -19,7 +19,7 @@
   TIE_MS,
 } from './constants.js';
 import { estimateCandidate, type Estimate } from './estimates.js';
-import { buildRing, listHomes } from './homes.js';
+import { buildRing, listHomes } from './hash-ring.js';
 import type { CandidateIndex, DispatchState } from './state.js';
 import type { Candidate, DispatchView, WaitingRequest } from './types.js';
 
--- a/src/controllers/routing/tracks.ts
+++ b/src/controllers/routing/replica-stats.ts
@@ -11,7 +11,7 @@
   SLOW_FROM,
   SLOWNESS_HALF_LIFE_MS,
 } from './constants.js';
-import { dropBelief } from './beliefs.js';
+import { dropBelief } from './prefix-cache.js';
 import type { DispatchState, ReplicaTrack, SentRequest } from './state.js';
 
 /** The track of `replica`, begun when there is none. */
--- a/src/controllers/routing/reports.ts
+++ b/src/controllers/routing/sent-requests.ts
@@ -2,11 +2,11 @@
  * What the dispatcher learns of requests that it sent.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
-import { dropBelief } from './beliefs.js';
+import { dropBelief } from './prefix-cache.js';
 import type { DispatchState, SentRequest } from './state.js';
-import { learnSlowness, trackEnd } from './tracks.js';
+import { learnSlowness, trackEnd } from './replica-stats.js';
 import type { SentOutcome } from './types.js';
-import { recordAnswer } from './waits.js';
+import { recordAnswer } from './wait-estimates.js';
 
 /**
  * The first token of a sent request arrived.
