--- a/features/routing/fixtures.ts
+++ b/features/routing/fixtures.ts
@@ -1,5 +1,5 @@
 /**
- * Small makers of requests, candidates and views for the scenarios of routing.
+ * Factories for requests, candidates and views in the routing scenarios.
  */
 import type {
   Candidate,
@@ -8,7 +8,7 @@
   WaitingRequest,
 } from '../../src/controllers/routing/index.js';
 
-export const HERE = { region: 'west', failureDomain: 'west-1' };
+export const ENTRY_LOCATION = { region: 'west', failureDomain: 'west-1' };
 const PREFILL_MS_PER_TOKEN = 0.25;
 
 export function makeCandidate(
@@ -24,7 +24,7 @@
     leader: `${replica}-0`,
     address: '127.0.0.1:1',
     members: [`${replica}-0`],
-    location: HERE,
+    location: ENTRY_LOCATION,
     load: {
       measuredAt: now,
       load: {
@@ -43,7 +43,7 @@
 }
 
 export function makeView(candidates: readonly Candidate[]): DispatchView {
-  return { here: HERE, candidatesOf: () => candidates, peersSent: [], entries: 1 };
+  return { here: ENTRY_LOCATION, candidatesOf: () => candidates, peersSent: [], entries: 1 };
 }
 
 export function makeRequest(
@@ -66,7 +66,7 @@
   };
 }
 
-/** Blocks of a prompt that others may share. */
+/** Prefixes of a prompt with `blocks` blocks; equal names give equal prefixes. */
 export function makePrefixes(name: string, blocks: number): Prefix[] {
   return Array.from({ length: blocks }, (_, index) => ({
     hash: `${name}-${index}`,
--- a/features/routing/history.ts
+++ b/features/routing/history.ts
@@ -1,5 +1,5 @@
 /**
- * Random histories of a dispatcher, and what must hold in each.
+ * Simulates random histories of a dispatcher and checks its invariants.
  */
 import assert from 'node:assert/strict';
 import {
@@ -16,43 +16,53 @@
 import { makeCandidate, makeRequest, makeView } from './fixtures.js';
 
 const STEPS = 250;
-export const QUEUE_LENGTH = 6;
+export const MAX_QUEUE_LENGTH = 6;
 
-/** What became of each ticket: one of `refused`, `sent`, `withdrawn`; absent while it waits. */
-export interface History {
+/** A simulated history. `outcomes` maps tickets that left the queue to `refuse`, `send` or `withdrawn`. */
+export interface RoutingHistory {
   offered: Map<string, WaitingRequest>;
-  ends: Map<string, string>;
+  outcomes: Map<string, string>;
   longestQueue: number;
   state: DispatchState;
 }
 
-export function playRouting(seed: number): History {
+export function simulateRouting(seed: number): RoutingHistory {
   const random = createRandom(seed);
   const state = createDispatchState();
-  const history: History = { offered: new Map(), ends: new Map(), longestQueue: 0, state };
+  const history: RoutingHistory = {
+    offered: new Map(),
+    outcomes: new Map(),
+    longestQueue: 0,
+    state,
+  };
   const running: string[] = [];
   let now = 0;
   let view = makeView([]);
   for (let step = 0; step < STEPS; step += 1) {
     now += random.below(60);
-    if (random.below(6) === 0) view = makeView(drawCandidates(random, now));
-    act(history, running, random, now);
+    if (random.below(6) === 0) view = makeView(randomCandidates(random, now));
+    applyRandomEvents(history, running, random, now);
     for (const action of dispatch(state, view, now, random).actions) {
-      settle(history, action.ticket, action.kind);
+      recordOutcome(history, action.ticket, action.kind);
       if (action.kind === 'refuse') continue;
       running.push(action.ticket);
       const request = history.offered.get(action.ticket);
       assert.ok(request && !request.excluded.includes(action.candidate.replica));
       assert.ok(now < request.deadlineAt, 'sent past its deadline');
     }
-    for (const count of state.waitingOf.values()) {
+    for (const count of state.waitingByWorkspace.values()) {
       history.longestQueue = Math.max(history.longestQueue, count);
     }
   }
   return history;
 }
 
-function act(history: History, running: string[], random: Random, now: number): void {
+function applyRandomEvents(
+  history: RoutingHistory,
+  running: string[],
+  random: Random,
+  now: number,
+): void {
   const { state, offered } = history;
   for (let count = random.below(5); count > 0; count -= 1) {
     const request = makeRequest(`t${offered.size}`, now, {
@@ -63,8 +73,8 @@
       excluded: random.below(3) === 0 ? ['r0'] : [],
     });
     offered.set(request.ticket, request);
-    if (offerRequest(state, request, QUEUE_LENGTH, 1).isErr()) {
-      settle(history, request.ticket, 'refuse');
+    if (offerRequest(state, request, MAX_QUEUE_LENGTH, 1).isErr()) {
+      recordOutcome(history, request.ticket, 'refuse');
     }
   }
   const ended = running.splice(random.below(running.length + 1), 1)[0];
@@ -73,15 +83,16 @@
     reportEnd(state, ended, { kind: random.below(5) === 0 ? 'lost' : 'completed' }, now);
   }
   const ticket = `t${random.below(offered.size + 1)}`;
-  if (random.below(4) === 0 && withdrawRequest(state, ticket)) settle(history, ticket, 'withdrawn');
+  if (random.below(4) === 0 && withdrawRequest(state, ticket))
+    recordOutcome(history, ticket, 'withdrawn');
 }
 
-function settle(history: History, ticket: string, end: string): void {
-  assert.ok(!history.ends.has(ticket), `${ticket} was ${history.ends.get(ticket)} before`);
-  history.ends.set(ticket, end);
+function recordOutcome(history: RoutingHistory, ticket: string, outcome: string): void {
+  assert.ok(!history.outcomes.has(ticket), `${ticket} was ${history.outcomes.get(ticket)} before`);
+  history.outcomes.set(ticket, outcome);
 }
 
-function drawCandidates(random: Random, now: number): ReturnType<typeof makeCandidate>[] {
+function randomCandidates(random: Random, now: number): ReturnType<typeof makeCandidate>[] {
   return Array.from({ length: random.below(4) }, (_, index) =>
     makeCandidate(`r${index}`, now - random.below(800), {
       running: random.below(10),
--- a/features/routing/retries.feature
+++ b/features/routing/retries.feature
@@ -1,15 +1,14 @@
 Feature: Retry decisions
 
-  # A caller was told "not run" and sent its check-in again; the first had run, and the rigger is on
-  # site twice. The last attempt was indeed not sent, but an earlier one was.
+  # Guards against reporting "not run" because the last attempt was not sent although an earlier one
+  # may have run; a caller that repeats such a request would run it twice.
   Scenario: Never "not run" after an attempt that may have run
     Given random series of attempts that end badly
     Then no final answer says "not run" when any attempt may have run
     And no call that may not be repeated is retried after it may have run
     And no retry starts past the deadline
 
-  # A backend server refuses under overload, each caller's request comes back three times, and the
-  # overload lasts for as long as the callers have patience.
+  # Guards against retry storms that keep an overloaded backend server overloaded.
   Scenario: Retries do not multiply an overload
     Given a backend server that refuses 10000 requests in 100 seconds
     Then the retries stay below 0.13 of the requests
--- a/features/routing/retries.steps.ts
+++ b/features/routing/retries.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps for the retry decision, on manual time.
+ * Steps for retry decisions, with simulated time.
  */
 import assert from 'node:assert/strict';
 import { Given, Then } from '@cucumber/cucumber';
@@ -24,14 +24,14 @@
   decisions: RetryDecision[];
 }
 
-interface Series {
+interface AttemptSeries {
   ends: AttemptEnd[];
   repeatable: boolean;
   resumable: boolean;
-  span: number;
+  deadlineAt: number;
 }
 
-const ends: fc.Arbitrary<AttemptEnd> = fc.oneof(
+const attemptEnds: fc.Arbitrary<AttemptEnd> = fc.oneof(
   fc.constantFrom<AttemptEnd[]>(
     { kind: 'notSent', reason: 'no connection' },
     { kind: 'refused', reason: 'busy', retryAfterMs: 50 },
@@ -41,24 +41,24 @@
   fc.nat(30).map((received): AttemptEnd => ({ kind: 'cut', reason: 'reset', received })),
 );
 
-const series: fc.Arbitrary<Series> = fc.record({
-  ends: fc.array(ends, { minLength: 1, maxLength: 6 }),
+const attemptSeries: fc.Arbitrary<AttemptSeries> = fc.record({
+  ends: fc.array(attemptEnds, { minLength: 1, maxLength: 6 }),
   repeatable: fc.boolean(),
   resumable: fc.boolean(),
-  span: fc.nat(300),
+  deadlineAt: fc.nat(300),
 });
 
-interface Step {
+interface AttemptStep {
   question: RetryQuestion;
   decision: RetryDecision;
   now: number;
 }
 
-/** Plays a request through its attempts, as the request path does. */
-function playAttempts({ ends, repeatable, resumable, span }: Series): Step[] {
+/** Runs a request through its attempts in the same way as the request path. */
+function runAttempts({ ends, repeatable, resumable, deadlineAt }: AttemptSeries): AttemptStep[] {
   const state = createRetryState();
   const random = createRandom(SEED);
-  const steps: Step[] = [];
+  const steps: AttemptStep[] = [];
   let now = 0;
   let started = false;
   let received = 0;
@@ -70,7 +70,7 @@
       repeatable,
       resumable,
       attempts: index + 1,
-      deadlineAt: span,
+      deadlineAt,
       mayHaveRun: started,
       received,
     };
@@ -84,17 +84,17 @@
   return steps;
 }
 
-function holdsForAll(holds: (step: Step) => boolean): void {
-  const property = fc.property(series, (one) => playAttempts(one).every(holds));
+function assertForAllSteps(holds: (step: AttemptStep) => boolean): void {
+  const property = fc.property(attemptSeries, (series) => runAttempts(series).every(holds));
   fc.assert(property, { seed: SEED, numRuns: 500 });
 }
 
 Given('random series of attempts that end badly', function () {
-  // The series are drawn by the properties below.
+  // The properties below generate the series.
 });
 
 Then('no final answer says "not run" when any attempt may have run', function () {
-  holdsForAll(({ question, decision }) => {
+  assertForAllSteps(({ question, decision }) => {
     if (decision.kind !== 'answer') return true;
     const started = (question.mayHaveRun ?? false) || mayHaveRun(question.end);
     return !started || concludeFailure(decision.failure) !== 'notRun';
@@ -102,14 +102,14 @@
 });
 
 Then('no call that may not be repeated is retried after it may have run', function () {
-  holdsForAll(({ question, decision }) => {
+  assertForAllSteps(({ question, decision }) => {
     if (question.repeatable || question.resumable || !mayHaveRun(question.end)) return true;
     return decision.kind === 'answer';
   });
 });
 
 Then('no retry starts past the deadline', function () {
-  holdsForAll(({ question, decision, now }) =>
+  assertForAllSteps(({ question, decision, now }) =>
     decision.kind === 'answer' ? true : now + decision.afterMs < question.deadlineAt,
   );
 });
@@ -141,11 +141,17 @@
   },
 );
 
-Then('the retries stay below {float} of the requests', function (this: RetryWorld, part: number) {
-  assert.ok(this.retries > 0 && this.retries < part * this.requests, `${this.retries} retries`);
-});
+Then(
+  'the retries stay below {float} of the requests',
+  function (this: RetryWorld, fraction: number) {
+    assert.ok(
+      this.retries > 0 && this.retries < fraction * this.requests,
+      `${this.retries} retries`,
+    );
+  },
+);
 
-function askAfterCut(resumable: boolean): RetryDecision[] {
+function decideAfterCut(resumable: boolean): RetryDecision[] {
   const state = createRetryState();
   const question: RetryQuestion = {
     end: { kind: 'cut', reason: 'reset', received: 17 },
@@ -163,20 +169,20 @@
     mayHaveRun: true,
     received: 17,
   };
-  return [question, lost].map((one) => decideRetry(state, one, 0, createRandom(SEED)));
+  return [question, lost].map((each) => decideRetry(state, each, 0, createRandom(SEED)));
 }
 
 Given(
   'a completion that was cut after 17 tokens and lost on its second attempt',
   function (this: RetryWorld) {
-    this.decisions = askAfterCut(true);
+    this.decisions = decideAfterCut(true);
   },
 );
 
 Given(
   'a completion that was cut after 17 tokens and can not be resumed',
   function (this: RetryWorld) {
-    this.decisions = askAfterCut(false);
+    this.decisions = decideAfterCut(false);
   },
 );
 
--- a/features/routing/routing.feature
+++ b/features/routing/routing.feature
@@ -2,16 +2,14 @@
 
   Rule: Every waiting request gets exactly one answer
 
-    # A caller waits for ever, or a request is sent twice: its ticket was lost or handed out again
-    # while requests came, ended, were withdrawn and replicas came and went.
+    # Guards against requests that are never answered or are sent twice.
     Scenario: No routing ticket is lost or handed out twice
       Given 150 random histories of requests, ends, withdrawals and changing replicas
       Then each offered ticket was sent, refused, withdrawn or still waits, and only one of these
       And no queue was longer than its bound
       And nothing was sent to an excluded replica or past its deadline
 
-    # A replica is re-formed within a second. Were its requests refused meanwhile, all callers would
-    # come back at once and find the others overloaded.
+    # Guards against a burst of retries when the only replica is replaced within a short time.
     Scenario: Requests outlast a short absence of the only replica, and no longer one
       Given a dispatcher whose model has no replica
       When a request waits 1500 ms and the replica comes back
@@ -19,15 +17,13 @@
       When the replica is away for 2500 ms
       Then a waiting request is refused as noCapacity with a time to come back
 
-    # Ten requests are ahead, one leaves each second, and the caller's deadline is in five. Letting it
-    # wait would tell it only then what can be told now.
+    # Guards against queueing a request until its deadline although it can't be met.
     Scenario: A request that can not be reached in time is refused at once
       Given a dispatcher whose only replica takes one request a second
       When 10 requests wait and one with a deadline in 5 seconds arrives
       Then the late one is refused as overloaded with a time to come back
 
-    # An attempt was lost on the way back, the next could not be sent, and the caller was told "not
-    # run" of a request that had run.
+    # Guards against reporting "not run" when an earlier attempt may have run.
     Scenario: A request that may have run is never refused as not run
       Given a dispatcher whose model has no replica
       When a request that may have run waits until it is refused
@@ -35,7 +31,7 @@
 
   Rule: Workspaces and classes get their part
 
-    # One workspace queues hundreds of requests; the others' few requests stand behind all of them.
+    # Guards against serving workspaces in order of arrival, where a burst of one delays all others.
     Scenario: A flooding workspace does not delay another's routing turn
       Given a dispatcher with 200 waiting requests of one workspace and 10 of another
       When 20 requests are sent
@@ -46,8 +42,7 @@
       When 40 requests are sent
       Then between 29 and 31 of those sent are of the workspace with weight 3
 
-    # While the gate is busy, batch work gets no turn at all and every batch request passes its
-    # deadline.
+    # Guards against starvation of batch requests while there are always gate requests queued.
     Scenario: Gate requests are routed first and batch requests do not starve
       Given a dispatcher with 200 waiting gate requests and 20 waiting batch requests
       When 110 requests are sent
@@ -62,22 +57,20 @@
       When that replica reports 4000 prompt tokens that wait
       Then the same prompt is routed to the other
 
-    # Cache events had a gap: an eviction was among the missing ones, and requests kept going to a
-    # replica that had to prefill them anew.
+    # Guards against routing by cached prefixes that were evicted or lost with a restart.
     Scenario: A gap in cache events or a new start drops the belief in a replica's cache
       Given a replica whose cache events said that it holds a prefix
       Then a gap in its cache events makes the dispatcher forget it
       And a new incarnation makes the dispatcher forget it
 
-    # An engine is paused. It reports nothing worse than before and ends nothing, and requests keep
-    # going to it because it looks idle.
+    # Guards against sending more requests to a paused engine, whose last load report shows it idle.
     Scenario: A replica that owes a first token gets no further requests
       Given two idle replicas, one of which owes a first token for 3 seconds
       Then the next 10 requests are routed to the other
 
   Rule: Instances of plain services
 
-    # One instance of three refuses every call; least outstanding favours it, for it is always idle.
+    # Guards against a failing instance that attracts all calls because it has the fewest outstanding.
     Scenario: A failing service instance is left alone for a while
       Given three service instances of which one fails all its calls
       When 100 calls are routed to service instances
--- a/features/routing/wiring.steps.ts
+++ b/features/routing/wiring.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps for what the parts of an entry pass on between the decisions on routing and limits.
+ * Steps for the integration of routing and limits in an entry.
  */
 import assert from 'node:assert/strict';
 import { createHash } from 'node:crypto';
@@ -15,22 +15,22 @@
 import { policySchema, workspaceSchema } from '../../src/objects/index.js';
 import { call } from '../requests/client.js';
 import { EntryFixture, KEY, MODEL } from '../requests/fixture.js';
-import { HERE, makeCandidate, makeRequest } from './fixtures.js';
+import { ENTRY_LOCATION, makeCandidate, makeRequest } from './fixtures.js';
 
 interface WiringWorld {
   entry?: EntryFixture;
-  limitsPart?: Limits;
+  limitsComponent?: Limits;
   board: BoardWriters;
   dispatcher: ReturnType<typeof createDispatcher>;
   grants: { workspace: string; grant: Grant }[];
 }
 
-const NOWHERE = '127.0.0.1:0';
+const UNUSED_ADDRESS = '127.0.0.1:0';
 const MAX_TOKENS = 40;
-/** Slow enough for all of a flood to arrive while the first are answered. */
+/** Slow enough for a whole burst to arrive before the first answers are complete. */
 const SLOW_FACTOR = 10;
 const SHARE = { requestsPerSecond: 1e6, tokensPerSecond: 1e9, concurrentRequests: 1e6 };
-const PRIORITY = policySchema.parse({}).classes.interactive.priority;
+const INTERACTIVE_PRIORITY = policySchema.parse({}).classes.interactive.priority;
 
 Given(
   'an entry that routes for workspaces {string} and {string}',
@@ -44,7 +44,7 @@
 
 function addWorkspace(board: BoardWriters, name: string): void {
   const value = workspaceSchema.parse({
-    keyHashes: [createHash('sha256').update(keyOf(name)).digest('hex')],
+    keyHashes: [createHash('sha256').update(apiKeyOf(name)).digest('hex')],
     classes: ['interactive'],
     selector: [],
   });
@@ -54,7 +54,7 @@
   board.limits.write(new Map([...board.limits.read(), [name, SHARE]]));
 }
 
-function keyOf(workspace: string): string {
+function apiKeyOf(workspace: string): string {
   return workspace === 'market' ? KEY : `${workspace}-key`;
 }
 
@@ -63,18 +63,18 @@
   async function (this: WiringWorld, first: string, few: number, second: string, many: number) {
     const { entry } = this;
     assert.ok(entry);
-    await Promise.all(Array.from({ length: few }, () => ask(entry, first)));
-    await Promise.all(Array.from({ length: many }, () => ask(entry, second)));
+    await Promise.all(Array.from({ length: few }, () => sendCompletion(entry, first)));
+    await Promise.all(Array.from({ length: many }, () => sendCompletion(entry, second)));
   },
 );
 
-async function ask(entry: EntryFixture, workspace: string): Promise<void> {
+async function sendCompletion(entry: EntryFixture, workspace: string): Promise<void> {
   const body = JSON.stringify({
     model: MODEL,
     messages: [{ role: 'user', content: `a question of ${workspace}` }],
     max_tokens: MAX_TOKENS,
   });
-  const headers = { authorization: `Bearer ${keyOf(workspace)}`, 'x-class': 'interactive' };
+  const headers = { authorization: `Bearer ${apiKeyOf(workspace)}`, 'x-class': 'interactive' };
   const received = await call(entry.address, '/v1/chat/completions', {
     method: 'POST',
     body,
@@ -86,8 +86,8 @@
 Then(
   'the engines saw the first question at the priority of its class',
   function (this: WiringWorld) {
-    // The first attempt is that of the workspace that asked first.
-    assert.equal(listPriorities(this)[0], PRIORITY);
+    // The first attempt is that of the first workspace.
+    assert.equal(listPriorities(this)[0], INTERACTIVE_PRIORITY);
   },
 );
 
@@ -95,7 +95,7 @@
   'the engines saw the others at the priority of their class and at a lower one',
   function (this: WiringWorld) {
     const seen = new Set(listPriorities(this).slice(1));
-    assert.deepEqual([...seen].sort(), [PRIORITY - 2, PRIORITY]);
+    assert.deepEqual([...seen].sort(), [INTERACTIVE_PRIORITY - 2, INTERACTIVE_PRIORITY]);
   },
 );
 
@@ -144,19 +144,19 @@
 
 Then(
   'at most {int} requests of the flood went out while none was answered',
-  function (this: WiringWorld, most: number) {
+  function (this: WiringWorld, max: number) {
     const sent = this.grants.filter(
       ({ workspace, grant }) => workspace === 'flood' && grant.kind === 'send',
     );
-    assert.ok(sent.length > 0 && sent.length <= most, `${sent.length} went out`);
+    assert.ok(sent.length > 0 && sent.length <= max, `${sent.length} went out`);
   },
 );
 
-Given('the limits part of an entry that has started', function (this: WiringWorld) {
+Given('the limits component of an entry that has started', function (this: WiringWorld) {
   const context = createContext();
   this.board = context.writers;
-  this.limitsPart = createLimits(context, () => Number.NEGATIVE_INFINITY);
-  this.limitsPart.start();
+  this.limitsComponent = createLimits(context, () => Number.NEGATIVE_INFINITY);
+  this.limitsComponent.start();
 });
 
 When('a configuration with a new workspace comes into force', function (this: WiringWorld) {
@@ -173,7 +173,7 @@
 });
 
 After(async function (this: Partial<WiringWorld>) {
-  await this.limitsPart?.stop();
+  await this.limitsComponent?.stop();
   await this.entry?.stop();
   delete this.entry;
 });
@@ -182,8 +182,8 @@
   return {
     name,
     incarnation: '1',
-    address: NOWHERE,
-    failureDomain: HERE.failureDomain,
+    address: UNUSED_ADDRESS,
+    failureDomain: ENTRY_LOCATION.failureDomain,
     heardAt: 0,
     configurationRevision: 1,
     ready: true,
@@ -198,18 +198,18 @@
   const board = createBoard();
   const settings = entrySettingsSchema.parse({
     name: 'entry-1',
-    ...HERE,
-    listen: { callers: NOWHERE, operators: NOWHERE, peers: NOWHERE },
-    platform: { address: NOWHERE },
+    ...ENTRY_LOCATION,
+    listen: { callers: UNUSED_ADDRESS, operators: UNUSED_ADDRESS, peers: UNUSED_ADDRESS },
+    platform: { address: UNUSED_ADDRESS },
     callers: { queueLength: 1_000 },
   });
   return {
     identity: {
       name: 'entry-1',
       incarnation: '1',
-      address: NOWHERE,
-      peerAddress: NOWHERE,
-      ...HERE,
+      address: UNUSED_ADDRESS,
+      peerAddress: UNUSED_ADDRESS,
+      ...ENTRY_LOCATION,
     },
     settings,
     board,
@@ -217,7 +217,7 @@
     clock: createSystemClock(),
     random: createRandom(7),
     logger: silentLogger,
-    // Neither part makes calls of its own.
+    // The dispatcher and the limits make no calls.
     platform: {} as EntryContext['platform'],
     engines: {} as EntryContext['engines'],
   };
--- a/src/controllers/routing/dispatch.ts
+++ b/src/controllers/routing/dispatch.ts
@@ -1,34 +1,38 @@
 /**
- * The dispatch decision: which waiting requests go out now, which are refused, and when to look
- * again.
+ * Decides which queued requests are sent, which are refused, and when to decide again.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import type { Random } from '../../core/random/index.js';
 import { concludeGivenUp } from '../retries/given-up.js';
-import { believeSent } from './prefix-cache.js';
-import { chooseReplica, indexCandidates, indexPeers } from './replica-selection.js';
+import { recordSentPrefixes } from './prefix-cache.js';
+import { chooseReplica, indexCandidates, indexPeerSends } from './replica-selection.js';
 import {
-  ARRIVAL_MARGIN,
-  LEAST_RETRY_MS,
-  MOST_RETRY_MS,
+  ADMISSION_SAFETY_FACTOR,
+  MIN_RETRY_AFTER_MS,
+  MAX_RETRY_AFTER_MS,
   NO_CAPACITY_GRACE_MS,
-  NO_CAPACITY_RETRY_MS,
-  RECHECK_MS,
+  NO_CAPACITY_RETRY_AFTER_MS,
+  RECHECK_INTERVAL_MS,
 } from './constants.js';
-import { crowdsOut, isAtCrowdLimit } from './noisy-neighbors.js';
-import type { Estimate } from './estimates.js';
-import { chargeLane, orderClasses, orderLanes, removeRequest } from './queues.js';
+import { detectNoisyNeighbor, isAtNoisyNeighborLimit } from './noisy-neighbors.js';
+import type { ReplicaEstimate } from './estimates.js';
+import { chargeWorkspace, orderClasses, orderWorkspaceQueues, removeRequest } from './queues.js';
 import type { CandidateIndex, DispatchState, ModelQueue, SentRequest } from './state.js';
-import { forgetReplicas, openTrack, trackSend } from './replica-stats.js';
-import type { Dispatch, DispatchAction, DispatchView, WaitingRequest } from './types.js';
-import { countAhead, estimateAnswer, estimateRetryAfter, recordSend } from './wait-estimates.js';
+import { pruneReplicaStats, getOrCreateReplicaStats, recordReplicaSend } from './replica-stats.js';
+import type { DispatchResult, DispatchAction, DispatchView, WaitingRequest } from './types.js';
+import {
+  countRequestsAhead,
+  estimateGenerationMs,
+  estimateRetryAfterMs,
+  recordSendInterval,
+} from './wait-estimates.js';
 
-/** Weight of the newest send in the mean part of prompts that is not cached. */
-const UNCACHED_RATE = 0.02;
+/** EWMA weight of the latest send in the mean uncached fraction of prompts. */
+const UNCACHED_FRACTION_EWMA_WEIGHT = 0.02;
 
-/** One call of {@link dispatch}: its inputs, and the actions gathered so far. */
-interface Round {
+/** Inputs of one {@link dispatch} call and the actions collected so far. */
+interface DispatchContext {
   state: DispatchState;
   view: DispatchView;
   now: Milliseconds;
@@ -37,10 +41,10 @@
 }
 
 /**
- * Sends what has room and refuses what can't be served in time. A request whose estimated wait
- * passes its deadline is refused at once, not when the deadline has passed. While a model has no
- * replica, its requests wait for {@link NO_CAPACITY_GRACE_MS}, so that one that comes back at once
- * causes no storm of repeated requests; after that they are refused on arrival.
+ * Sends requests while replicas have capacity and refuses those that can't be served in time. A
+ * request whose estimated wait exceeds its deadline is refused immediately. While a model has no
+ * replica, its requests stay queued for {@link NO_CAPACITY_GRACE_MS}, which avoids a burst of
+ * retries after a short outage; after that time they are refused on arrival.
  *
  * @example const { actions, wakeAt } = dispatch(state, view, clock.now(), random);
  */
@@ -49,195 +53,209 @@
   view: DispatchView,
   now: Milliseconds,
   random: Random,
-): Dispatch {
-  const round: Round = { state, view, now, random, actions: [] };
-  indexPeers(state, view.peersSent);
-  forgetReplicas(state, now);
-  refuseLate(round);
+): DispatchResult {
+  const context: DispatchContext = { state, view, now, random, actions: [] };
+  indexPeerSends(state, view.peersSent);
+  pruneReplicaStats(state, now);
+  refuseExpired(context);
   for (const queue of state.queues.values()) {
-    if (queue.length > 0) dispatchModel(round, queue);
+    if (queue.length > 0) dispatchQueue(context, queue);
   }
-  const wakeAt = findWakeAt(state, now);
-  return wakeAt === undefined ? { actions: round.actions } : { actions: round.actions, wakeAt };
+  const wakeAt = nextWakeAt(state, now);
+  return wakeAt === undefined ? { actions: context.actions } : { actions: context.actions, wakeAt };
 }
 
-function refuseLate(round: Round): void {
-  const { state, now } = round;
+function refuseExpired(context: DispatchContext): void {
+  const { state, now } = context;
   if (now < state.nextDeadlineAt) return;
   state.nextDeadlineAt = Number.POSITIVE_INFINITY;
   for (const request of [...state.waiting.values()]) {
-    if (request.deadlineAt <= now) refuse(round, request, createFailure('deadlineBeforeStart'));
+    if (request.deadlineAt <= now) refuse(context, request, createFailure('deadlineBeforeStart'));
     else state.nextDeadlineAt = Math.min(state.nextDeadlineAt, request.deadlineAt);
   }
 }
 
-function dispatchModel(round: Round, queue: ModelQueue): void {
-  const index = indexCandidates(round.state, queue.model, round.view);
+function dispatchQueue(context: DispatchContext, queue: ModelQueue): void {
+  const index = indexCandidates(context.state, queue.model, context.view);
   if (index.source.length === 0) {
-    waitForCapacity(round, queue);
+    refuseWithoutCapacity(context, queue);
     return;
   }
-  delete queue.emptySince;
-  while (sendNext(round, queue, index)) {
-    // Each turn sends one request; the next is looked for in the changed order.
+  delete queue.noReplicaSince;
+  while (sendNext(context, queue, index)) {
+    // Each iteration sends or refuses one request and changes the serving order.
   }
-  refuseHopeless(round, queue);
+  refuseUnservableNewRequests(context, queue);
 }
 
-function waitForCapacity(round: Round, queue: ModelQueue): void {
-  queue.emptySince ??= round.now;
-  if (round.now - queue.emptySince < NO_CAPACITY_GRACE_MS) return;
+function refuseWithoutCapacity(context: DispatchContext, queue: ModelQueue): void {
+  queue.noReplicaSince ??= context.now;
+  if (context.now - queue.noReplicaSince < NO_CAPACITY_GRACE_MS) return;
   for (const request of listWaiting(queue)) {
     refuse(
-      round,
+      context,
       request,
-      createFailure('noCapacity', { name: queue.model }, NO_CAPACITY_RETRY_MS),
+      createFailure('noCapacity', { name: queue.model }, NO_CAPACITY_RETRY_AFTER_MS),
     );
   }
 }
 
 /**
- * Sends the first request, in serving order, that has room; `false` when there is none. Once a
- * request found none, others that may use no more of the engines are not tried in this turn.
+ * Sends or refuses the first request in serving order for which that is possible; returns `false` if
+ * there is none. After a noisy neighbor found no capacity, other noisy neighbors are skipped, and
+ * after any other request found none, the search ends.
  */
-function sendNext(round: Round, queue: ModelQueue, index: CandidateIndex): boolean {
-  const { state, view, now } = round;
-  let isCrowded = false;
+function sendNext(context: DispatchContext, queue: ModelQueue, index: CandidateIndex): boolean {
+  const { state, view, now } = context;
+  let isNoisyNeighborBlocked = false;
   for (const classQueue of orderClasses(queue)) {
-    for (const lane of orderLanes(classQueue)) {
-      const request = lane.requests[0];
+    for (const workspaceQueue of orderWorkspaceQueues(classQueue)) {
+      const request = workspaceQueue.requests[0];
       if (!request) continue;
       const { workspace } = request;
-      const leavesHeadroom = crowdsOut(state, index, workspace, view, now);
-      const isAtLimit = leavesHeadroom && isAtCrowdLimit(state, index, workspace, view);
-      if (isAtLimit || (leavesHeadroom && isCrowded)) continue;
-      if (trySend(round, queue, index, request, leavesHeadroom)) return true;
+      const isNoisyNeighbor = detectNoisyNeighbor(state, index, workspace, view, now);
+      const isAtLimit = isNoisyNeighbor && isAtNoisyNeighborLimit(state, index, workspace, view);
+      if (isAtLimit || (isNoisyNeighbor && isNoisyNeighborBlocked)) continue;
+      if (trySend(context, queue, index, request, isNoisyNeighbor)) return true;
       if (request.excluded.length > 0) continue;
-      if (!leavesHeadroom) return false;
-      isCrowded = true;
+      if (!isNoisyNeighbor) return false;
+      isNoisyNeighborBlocked = true;
     }
   }
   return false;
 }
 
-/** `true` when the request has left the queue, sent or refused. */
+/** Tries to send a request; returns `true` if it left the queue, whether sent or refused. */
 function trySend(
-  round: Round,
+  context: DispatchContext,
   queue: ModelQueue,
   index: CandidateIndex,
   request: WaitingRequest,
-  leavesHeadroom: boolean,
+  isNoisyNeighbor: boolean,
 ): boolean {
-  const { state, view, now, random } = round;
-  const choice = chooseReplica(state, index, request, view, leavesHeadroom, now, random);
-  queue.slotMs = choice.slotMs;
-  queue.engineWaitMs = choice.leastWaitMs ?? 0;
-  if (!choice.anyAllowed) {
-    refuse(round, request, createFailure('noCapacity', { name: queue.model }, LEAST_RETRY_MS));
+  const { state, view, now, random } = context;
+  const choice = chooseReplica(state, index, request, view, isNoisyNeighbor, now, random);
+  queue.slotIntervalMs = choice.slotIntervalMs;
+  queue.minEngineWaitMs = choice.minWaitMs ?? 0;
+  if (!choice.hasCandidates) {
+    refuse(
+      context,
+      request,
+      createFailure('noCapacity', { name: queue.model }, MIN_RETRY_AFTER_MS),
+    );
     return true;
   }
-  if (choice.chosen && !isTooLate(round, queue, request, choice.chosen.waitMs)) {
-    send(round, queue, request, choice.chosen, leavesHeadroom);
+  if (choice.chosen && !wouldMissDeadline(context, queue, request, choice.chosen.waitMs)) {
+    send(context, queue, request, choice.chosen, isNoisyNeighbor);
     return true;
   }
-  return judgeWait(round, queue, request, 1);
+  return refuseIfTooLate(context, queue, request, 1);
 }
 
 /**
- * Refuses those of the requests that came since the last turn whose estimated wait passes their
- * deadline: to wait in vain would cost their callers the time in which they could go elsewhere.
+ * Refuses new requests that would miss their deadline. An early refusal leaves their callers time to
+ * use another entry.
  */
-function refuseHopeless(round: Round, queue: ModelQueue): void {
-  for (const ticket of queue.unjudged.splice(0)) {
-    const request = round.state.waiting.get(ticket);
-    if (request) judgeWait(round, queue, request, ARRIVAL_MARGIN);
+function refuseUnservableNewRequests(context: DispatchContext, queue: ModelQueue): void {
+  for (const ticket of queue.uncheckedTickets.splice(0)) {
+    const request = context.state.waiting.get(ticket);
+    if (request) refuseIfTooLate(context, queue, request, ADMISSION_SAFETY_FACTOR);
   }
 }
 
-/** Whether an answer that begins after `waitMs` would not be whole before the deadline. */
-function isTooLate(
-  round: Round,
+/** Whether an answer that starts after `waitMs` would not be complete before the deadline. */
+function wouldMissDeadline(
+  context: DispatchContext,
   queue: ModelQueue,
   request: WaitingRequest,
   waitMs: Milliseconds,
 ): boolean {
-  return round.now + waitMs + answerMs(round, queue, request) >= request.deadlineAt;
+  return context.now + waitMs + expectedGenerationMs(context, queue, request) >= request.deadlineAt;
 }
 
 /**
- * What a request's answer is reckoned to take. Only of one that has waited here, or that others
- * wait with: an idle replica has nothing better to do, and what it does corrects the reckoning.
+ * Returns the expected generation time. It counts as 0 for a request that arrived just now with no
+ * other request queued: sending it takes no capacity from others, and its outcome corrects the
+ * estimate.
  */
-function answerMs(round: Round, queue: ModelQueue, request: WaitingRequest): Milliseconds {
-  const hasWaited = round.now - request.arrivedAt > RECHECK_MS;
-  return hasWaited || queue.length > 1 ? estimateAnswer(queue, request) : 0;
+function expectedGenerationMs(
+  context: DispatchContext,
+  queue: ModelQueue,
+  request: WaitingRequest,
+): Milliseconds {
+  const hasWaited = context.now - request.arrivedAt > RECHECK_INTERVAL_MS;
+  return hasWaited || queue.length > 1 ? estimateGenerationMs(queue, request) : 0;
 }
 
-/** Refuses a request whose estimated wait passes its deadline; `false` when it may wait. */
-function judgeWait(
-  round: Round,
+/** Refuses a request that would miss its deadline; returns `false` if it stays queued. */
+function refuseIfTooLate(
+  context: DispatchContext,
   queue: ModelQueue,
   request: WaitingRequest,
-  margin: number,
+  safetyFactor: number,
 ): boolean {
-  const interval = queue.sendIntervalMs ?? queue.slotMs;
-  const wait = queue.engineWaitMs + interval * countAhead(queue, request);
-  const span = margin * (wait + answerMs(round, queue, request));
-  const late = round.now + span - request.deadlineAt;
-  if (late < 0) return false;
-  const reason = `the estimated wait of ${Math.ceil(wait)} ms passes the deadline`;
-  const retryAfterMs = Math.max(estimateRetryAfter(queue, 1), Math.ceil(late));
-  const told = Math.min(MOST_RETRY_MS, retryAfterMs);
-  refuse(round, request, createFailure('overloaded', { reason }, told));
+  const sendIntervalMs = queue.sendIntervalMs ?? queue.slotIntervalMs;
+  const waitMs = queue.minEngineWaitMs + sendIntervalMs * countRequestsAhead(queue, request);
+  const totalMs = safetyFactor * (waitMs + expectedGenerationMs(context, queue, request));
+  const overrunMs = context.now + totalMs - request.deadlineAt;
+  if (overrunMs < 0) return false;
+  const reason = `the estimated wait of ${Math.ceil(waitMs)} ms passes the deadline`;
+  const retryAfterMs = Math.max(estimateRetryAfterMs(queue, 1), Math.ceil(overrunMs));
+  const cappedRetryAfterMs = Math.min(MAX_RETRY_AFTER_MS, retryAfterMs);
+  refuse(context, request, createFailure('overloaded', { reason }, cappedRetryAfterMs));
   return true;
 }
 
 function send(
-  round: Round,
+  context: DispatchContext,
   queue: ModelQueue,
   request: WaitingRequest,
-  chosen: Estimate,
-  isCrowding: boolean,
+  chosen: ReplicaEstimate,
+  isNoisyNeighbor: boolean,
 ): void {
-  const { state, now } = round;
+  const { state, now } = context;
   const { candidate } = chosen;
-  chargeLane(queue, request);
+  chargeWorkspace(queue, request);
   removeRequest(state, request);
-  recordSend(queue, now);
+  recordSendInterval(queue, now);
   const sent: SentRequest = {
     ticket: request.ticket,
     workspace: request.workspace,
     model: request.model,
     replica: candidate.replica,
     sentAt: now,
-    promptTokens: chosen.promptTokens,
+    uncachedPromptTokens: chosen.uncachedPromptTokens,
     prefillMs: chosen.prefillMs,
     outputTokens: request.maxTokens,
     estimatedFirstTokenMs: chosen.firstTokenMs,
-    plainFirstTokenMs: chosen.plainFirstTokenMs,
+    unadjustedFirstTokenMs: chosen.unadjustedFirstTokenMs,
   };
   state.sent.set(request.ticket, sent);
-  const part = Math.min(1, chosen.promptTokens / Math.max(1, request.promptTokens));
-  state.uncachedPart += UNCACHED_RATE * (part - state.uncachedPart);
+  const uncachedFraction = Math.min(
+    1,
+    chosen.uncachedPromptTokens / Math.max(1, request.promptTokens),
+  );
+  state.uncachedFraction +=
+    UNCACHED_FRACTION_EWMA_WEIGHT * (uncachedFraction - state.uncachedFraction);
   const workspace = state.workspaces.get(request.workspace);
   if (workspace) {
     workspace.inFlight += 1;
-    workspace.unanswered += 1;
+    workspace.awaitingFirstToken += 1;
   }
-  trackSend(openTrack(state, candidate.replica, now), sent);
-  believeSent(state, candidate.replica, request.prefixes);
-  round.actions.push({
+  recordReplicaSend(getOrCreateReplicaStats(state, candidate.replica, now), sent);
+  recordSentPrefixes(state, candidate.replica, request.prefixes);
+  context.actions.push({
     kind: 'send',
     ticket: request.ticket,
     candidate,
     estimatedFirstTokenMs: chosen.firstTokenMs,
-    isCrowding,
+    isCrowding: isNoisyNeighbor,
   });
 }
 
-function refuse(round: Round, request: WaitingRequest, failure: Failure): void {
-  removeRequest(round.state, request);
-  round.actions.push({
+function refuse(context: DispatchContext, request: WaitingRequest, failure: Failure): void {
+  removeRequest(context.state, request);
+  context.actions.push({
     kind: 'refuse',
     ticket: request.ticket,
     failure: concludeGivenUp(failure, request.mayHaveRun ?? false),
@@ -246,11 +264,11 @@
 
 function listWaiting(queue: ModelQueue): WaitingRequest[] {
   return queue.classes.flatMap((classQueue) =>
-    [...classQueue.lanes.values()].flatMap((lane) => lane.requests),
+    [...classQueue.workspaceQueues.values()].flatMap((workspaceQueue) => workspaceQueue.requests),
   );
 }
 
-function findWakeAt(state: DispatchState, now: Milliseconds): Milliseconds | undefined {
+function nextWakeAt(state: DispatchState, now: Milliseconds): Milliseconds | undefined {
   if (state.waiting.size === 0) return undefined;
-  return Math.min(now + RECHECK_MS, Math.max(now, state.nextDeadlineAt));
+  return Math.min(now + RECHECK_INTERVAL_MS, Math.max(now, state.nextDeadlineAt));
 }
--- a/src/controllers/routing/estimates.ts
+++ b/src/controllers/routing/estimates.ts
@@ -1,168 +1,182 @@
 /**
- * The estimated time to first token of a request at a replica, all in milliseconds: network
- * distance, wait for a place in the batch, prefill of what waits ahead, and prefill of the prompt
- * without what the replica is believed to have cached.
+ * Estimates the time to first token of a request at a replica: network latency, wait for a batch
+ * slot, prefill of the requests ahead, and prefill of the uncached part of the prompt.
  */
 import type { SentCount } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import { countCachedTokens } from './prefix-cache.js';
 import {
-  BACKLOG_FRACTION,
-  CROWDED_PREFILL_BACKLOG_MS,
+  MAX_QUEUED_BATCH_FRACTION,
+  NOISY_NEIGHBOR_MAX_BACKLOG_MS,
   DEFAULT_BATCH_SIZE,
   DEFAULT_DECODE_MS_PER_TOKEN,
   DEFAULT_PREFILL_MS_PER_TOKEN,
   HEADROOM_FRACTION,
-  HOME_CACHED_PART,
-  MOST_PREFILL_BACKLOG_MS,
-  OTHER_REGION_MS,
-  SAME_DOMAIN_MS,
-  SAME_REGION_MS,
+  PREFERRED_REPLICA_CACHED_FRACTION,
+  MAX_PREFILL_BACKLOG_MS,
+  OTHER_REGION_LATENCY_MS,
+  SAME_DOMAIN_LATENCY_MS,
+  SAME_REGION_LATENCY_MS,
 } from './constants.js';
-import type { DispatchState, ReplicaTrack } from './state.js';
-import { backlogAt, currentSlowness, overdueMs, settleReport } from './replica-stats.js';
+import type { DispatchState, ReplicaStats } from './state.js';
+import {
+  remainingBacklogMs,
+  currentSlowdown,
+  firstTokenOverdueMs,
+  applyLoadReport,
+} from './replica-stats.js';
 import type { Candidate, DispatchView, Location, WaitingRequest } from './types.js';
 
-/** What one choice knows of one candidate. */
-export interface Estimate {
+/** Estimates for one request at one candidate. */
+export interface ReplicaEstimate {
   candidate: Candidate;
   firstTokenMs: Milliseconds;
-  /** The same before the learned ratio. */
-  plainFirstTokenMs: Milliseconds;
-  /** The part that is not this prompt's own prefill. */
+  /** The same without the replica's slowdown. */
+  unadjustedFirstTokenMs: Milliseconds;
+  /** The time to first token without the prefill of the prompt itself. */
   waitMs: Milliseconds;
-  /** Prompt tokens to prefill. */
-  promptTokens: number;
+  /** Prompt tokens assumed not to be cached. */
+  uncachedPromptTokens: number;
   prefillMs: Milliseconds;
-  /** Whether the engine can take the request without much of a queue. */
-  hasRoom: boolean;
-  /** Mean span until the engine has finished one more request. */
-  slotMs: Milliseconds;
+  /** Whether batch occupancy and prefill backlog are below the limits. */
+  hasCapacity: boolean;
+  /** Mean interval at which the engine completes requests. */
+  slotIntervalMs: Milliseconds;
   lastSentAt: Milliseconds;
 }
 
-/** A replica's work as it stands now: the last report and what was sent since. */
-interface Work {
+/** Current workload of a replica: its last load report and the requests sent since. */
+interface ReplicaWorkload {
   requests: number;
   outputTokens: number;
-  backlogMs: Milliseconds;
+  prefillBacklogMs: Milliseconds;
   batchSize: number;
-  prefillMs: Milliseconds;
-  decodeMs: Milliseconds;
+  prefillMsPerToken: Milliseconds;
+  decodeMsPerToken: Milliseconds;
 }
 
-/** A request as it is estimated. */
+/** The request to estimate. */
 export interface EstimatedRequest {
   request: WaitingRequest;
-  /** Whether it leaves the engines some headroom. */
-  leavesHeadroom: boolean;
-  /** The longest prefix that is believed to be cached anywhere, in tokens. */
-  knownTokens: number;
+  /** Whether the stricter limits for noisy neighbors apply. */
+  isNoisyNeighbor: boolean;
+  /** Tokens of the longest prefix that any replica has probably cached. */
+  longestCachedTokens: number;
 }
 
-/** Estimates a request at `candidate`. Takes constant time. */
-export function estimateCandidate(
+/** Estimates a request at `candidate`. */
+export function estimateReplica(
   state: DispatchState,
   candidate: Candidate,
-  isHome: boolean,
-  asked: EstimatedRequest,
+  isPreferred: boolean,
+  estimated: EstimatedRequest,
   view: DispatchView,
   now: Milliseconds,
-): Estimate {
-  const { request, leavesHeadroom } = asked;
-  const track = state.replicas.get(candidate.replica);
-  const networkMs = distanceMs(view.here, candidate.location);
-  const work = sumWork(state, candidate, track, networkMs, now);
-  const believed = countCachedTokens(state, candidate.replica, request.prefixes);
-  const cached = Math.max(believed, isHome ? asked.knownTokens * HOME_CACHED_PART : 0);
-  const slotMs = (meanOutput(work) * work.decodeMs) / work.batchSize;
-  const queueMs = work.backlogMs + slotMs * Math.max(0, work.requests + 1 - work.batchSize);
-  const slowness = track ? currentSlowness(track, now) : 1;
-  const overdue = track ? overdueMs(track, now) : 0;
-  const promptTokens = Math.max(1, request.promptTokens - cached);
-  const prefillMs = promptTokens * work.prefillMs;
+): ReplicaEstimate {
+  const { request, isNoisyNeighbor } = estimated;
+  const stats = state.replicas.get(candidate.replica);
+  const networkMs = networkLatencyMs(view.here, candidate.location);
+  const workload = estimateWorkload(state, candidate, stats, networkMs, now);
+  const indexedTokens = countCachedTokens(state, candidate.replica, request.prefixes);
+  const cachedTokens = Math.max(
+    indexedTokens,
+    isPreferred ? estimated.longestCachedTokens * PREFERRED_REPLICA_CACHED_FRACTION : 0,
+  );
+  const slotIntervalMs =
+    (meanOutputTokens(workload) * workload.decodeMsPerToken) / workload.batchSize;
+  const queueMs =
+    workload.prefillBacklogMs +
+    slotIntervalMs * Math.max(0, workload.requests + 1 - workload.batchSize);
+  const slowdown = stats ? currentSlowdown(stats, now) : 1;
+  const overdueMs = stats ? firstTokenOverdueMs(stats, now) : 0;
+  const uncachedPromptTokens = Math.max(1, request.promptTokens - cachedTokens);
+  const prefillMs = uncachedPromptTokens * workload.prefillMsPerToken;
   return {
     candidate,
-    firstTokenMs: 2 * networkMs + slowness * (queueMs + prefillMs) + overdue,
-    plainFirstTokenMs: 2 * networkMs + queueMs + prefillMs,
-    waitMs: 2 * networkMs + slowness * queueMs + overdue,
-    promptTokens,
+    firstTokenMs: 2 * networkMs + slowdown * (queueMs + prefillMs) + overdueMs,
+    unadjustedFirstTokenMs: 2 * networkMs + queueMs + prefillMs,
+    waitMs: 2 * networkMs + slowdown * queueMs + overdueMs,
+    uncachedPromptTokens,
     prefillMs,
-    hasRoom: hasRoom(work, leavesHeadroom),
-    slotMs,
-    lastSentAt: track?.lastSentAt ?? Number.NEGATIVE_INFINITY,
+    hasCapacity: hasCapacity(workload, isNoisyNeighbor),
+    slotIntervalMs,
+    lastSentAt: stats?.lastSentAt ?? Number.NEGATIVE_INFINITY,
   };
 }
 
-/** One-way network distance. */
-export function distanceMs(here: Location, there: Location): Milliseconds {
-  if (here.failureDomain === there.failureDomain) return SAME_DOMAIN_MS;
-  return here.region === there.region ? SAME_REGION_MS : OTHER_REGION_MS;
+/** Assumed one-way network latency. */
+export function networkLatencyMs(from: Location, to: Location): Milliseconds {
+  if (from.failureDomain === to.failureDomain) return SAME_DOMAIN_LATENCY_MS;
+  return from.region === to.region ? SAME_REGION_LATENCY_MS : OTHER_REGION_LATENCY_MS;
 }
 
-function hasRoom(work: Work, leavesHeadroom: boolean): boolean {
-  if (leavesHeadroom) {
-    const places = Math.max(1, work.batchSize * (1 - HEADROOM_FRACTION));
-    return work.requests < places && work.backlogMs <= CROWDED_PREFILL_BACKLOG_MS;
+function hasCapacity(workload: ReplicaWorkload, isNoisyNeighbor: boolean): boolean {
+  if (isNoisyNeighbor) {
+    const slots = Math.max(1, workload.batchSize * (1 - HEADROOM_FRACTION));
+    return workload.requests < slots && workload.prefillBacklogMs <= NOISY_NEIGHBOR_MAX_BACKLOG_MS;
   }
-  const places = work.batchSize * (1 + BACKLOG_FRACTION);
-  return work.requests < places && work.backlogMs <= MOST_PREFILL_BACKLOG_MS;
+  const slots = workload.batchSize * (1 + MAX_QUEUED_BATCH_FRACTION);
+  return workload.requests < slots && workload.prefillBacklogMs <= MAX_PREFILL_BACKLOG_MS;
 }
 
 /**
- * The last report and what this entry sent since. What ended since and what peers sent since are
- * taken to balance: measured, adding peers' counts made the choice worse, as they come later still
- * than the reports and single counts scatter.
+ * Adds the sends of this entry since the last load report to that report. The sends of peers are
+ * assumed to balance the requests that ended since: their counts arrive later than the reports and
+ * would be outdated.
  */
-function sumWork(
+function estimateWorkload(
   state: DispatchState,
   candidate: Candidate,
-  track: ReplicaTrack | undefined,
+  stats: ReplicaStats | undefined,
   networkMs: Milliseconds,
   now: Milliseconds,
-): Work {
+): ReplicaWorkload {
   const report = candidate.load;
-  if (!report) return unreportedWork(track, state.peers.byReplica.get(candidate.replica), now);
+  if (!report)
+    return estimateWorkloadWithoutReport(
+      stats,
+      state.peerSends.byReplica.get(candidate.replica),
+      now,
+    );
   const { load } = report;
-  const age = Math.max(0, now - report.measuredAt);
-  const reportedMs = load.pendingPromptTokens * load.prefillMsPerToken * state.uncachedPart;
-  const work: Work = {
+  const ageMs = Math.max(0, now - report.measuredAt);
+  const reportedBacklogMs =
+    load.pendingPromptTokens * load.prefillMsPerToken * state.uncachedFraction;
+  const workload: ReplicaWorkload = {
     requests: load.running + load.waiting,
     outputTokens: load.pendingOutputTokens,
-    backlogMs: Math.max(0, reportedMs - age),
+    prefillBacklogMs: Math.max(0, reportedBacklogMs - ageMs),
     batchSize: load.batchSize,
-    prefillMs: load.prefillMsPerToken,
-    decodeMs: load.decodeMsPerToken,
+    prefillMsPerToken: load.prefillMsPerToken,
+    decodeMsPerToken: load.decodeMsPerToken,
   };
-  if (track) {
-    settleReport(track, report.measuredAt - networkMs, reportedMs);
-    work.requests += track.unreported.length;
-    work.outputTokens += track.unreportedOutputTokens;
-    work.backlogMs = backlogAt(track, now);
+  if (stats) {
+    applyLoadReport(stats, report.measuredAt - networkMs, reportedBacklogMs);
+    workload.requests += stats.unreportedSends.length;
+    workload.outputTokens += stats.unreportedOutputTokens;
+    workload.prefillBacklogMs = remainingBacklogMs(stats, now);
   }
-  return work;
+  return workload;
 }
 
-/**
- * A replica without a report, by what this entry and, in their last digests, its peers sent to it.
- */
-function unreportedWork(
-  track: ReplicaTrack | undefined,
+/** Estimates the workload from the sends of this entry and of its peers. */
+function estimateWorkloadWithoutReport(
+  stats: ReplicaStats | undefined,
   peers: SentCount | undefined,
   now: Milliseconds,
-): Work {
+): ReplicaWorkload {
   let outputTokens = peers?.outputTokens ?? 0;
-  for (const sent of track?.outstanding.values() ?? []) outputTokens += sent.outputTokens;
+  for (const sent of stats?.outstanding.values() ?? []) outputTokens += sent.outputTokens;
   return {
-    requests: (track?.outstanding.size ?? 0) + (peers?.requests ?? 0),
+    requests: (stats?.outstanding.size ?? 0) + (peers?.requests ?? 0),
     outputTokens,
-    backlogMs: track ? backlogAt(track, now) : 0,
+    prefillBacklogMs: stats ? remainingBacklogMs(stats, now) : 0,
     batchSize: DEFAULT_BATCH_SIZE,
-    prefillMs: DEFAULT_PREFILL_MS_PER_TOKEN,
-    decodeMs: DEFAULT_DECODE_MS_PER_TOKEN,
+    prefillMsPerToken: DEFAULT_PREFILL_MS_PER_TOKEN,
+    decodeMsPerToken: DEFAULT_DECODE_MS_PER_TOKEN,
   };
 }
 
-function meanOutput(work: Work): number {
-  return work.requests > 0 ? work.outputTokens / work.requests : 0;
+function meanOutputTokens(workload: ReplicaWorkload): number {
+  return workload.requests > 0 ? workload.outputTokens / workload.requests : 0;
 }
--- a/src/controllers/routing/hash-ring.ts
+++ b/src/controllers/routing/hash-ring.ts
@@ -1,50 +1,56 @@
 /**
- * Home replicas of prompt prefixes: a few replicas that every entry tries first for a prefix seen
- * before, found on a ring of hashes.
+ * Consistent hashing of prompt prefixes to preferred replicas.
  *
- * Guards against one prefix being prefilled and cached again at as many replicas as there are
- * entries, which shows as a poor hit rate though every entry sends its own requests for a prefix to
- * the same replica. The entries agree on the homes without telling each other anything.
+ * All entries compute the same preferred replicas without coordination. Otherwise each entry could
+ * settle on a different replica for the same prefix, and the prefix would be prefilled and cached
+ * once per entry.
  */
-import { HOME_SAMPLE } from './constants.js';
-import type { RingPlace } from './state.js';
+import { PREFERRED_REPLICAS_PER_PREFIX } from './constants.js';
+import type { RingNode } from './state.js';
 import type { Candidate } from './types.js';
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** The ring of `candidates`, in the order of their hashes. */
-export function buildRing(candidates: readonly Candidate[]): RingPlace[] {
+/** Builds the ring of `candidates`, sorted by hash. */
+export function buildHashRing(candidates: readonly Candidate[]): RingNode[] {
   return candidates
     .map((candidate) => ({ hash: hashText(candidate.replica), candidate }))
-    .sort((one, other) => one.hash - other.hash);
+    .sort((a, b) => a.hash - b.hash);
 }
 
-/** The homes of a prefix: the replicas that follow its hash on the ring. */
-export function listHomes(index: { ring: readonly RingPlace[] }, prefixHash: string): Candidate[] {
-  const { ring } = index;
-  const start = findPlace(ring, hashText(prefixHash));
-  const homes: Candidate[] = [];
-  for (let step = 0; step < Math.min(HOME_SAMPLE, ring.length); step += 1) {
-    const place = ring[(start + step) % ring.length];
-    if (place) homes.push(place.candidate);
+/** Lists the preferred replicas of a prefix: the successors of its hash on the ring. */
+export function listPreferredReplicas(
+  index: { hashRing: readonly RingNode[] },
+  prefixHash: string,
+): Candidate[] {
+  const { hashRing } = index;
+  const start = findSuccessorIndex(hashRing, hashText(prefixHash));
+  const preferred: Candidate[] = [];
+  for (
+    let offset = 0;
+    offset < Math.min(PREFERRED_REPLICAS_PER_PREFIX, hashRing.length);
+    offset += 1
+  ) {
+    const node = hashRing[(start + offset) % hashRing.length];
+    if (node) preferred.push(node.candidate);
   }
-  return homes;
+  return preferred;
 }
 
-/** The first place at or after `hash`. */
-function findPlace(ring: readonly RingPlace[], hash: number): number {
+/** Returns the index of the first node at or after `hash`. */
+function findSuccessorIndex(hashRing: readonly RingNode[], hash: number): number {
   let low = 0;
-  let high = ring.length;
+  let high = hashRing.length;
   while (low < high) {
     const middle = (low + high) >> 1;
-    if ((ring[middle]?.hash ?? 0) < hash) low = middle + 1;
+    if ((hashRing[middle]?.hash ?? 0) < hash) low = middle + 1;
     else high = middle;
   }
   return low;
 }
 
-/** FNV-1a with a last mix, so that names that differ in the last character lie far apart. */
+/** FNV-1a with a final mix, so that names differing only in the last character spread out. */
 function hashText(text: string): number {
   let hash = FNV_OFFSET;
   for (let index = 0; index < text.length; index += 1) {
--- a/src/controllers/routing/instance-selection.ts
+++ b/src/controllers/routing/instance-selection.ts
@@ -1,54 +1,53 @@
 /**
- * The choice of an instance of a plain service: least outstanding, own failure domain first, and
- * failing instances left alone for a while.
+ * Selects an instance of a service without replicas: fewest outstanding calls, weighted against
+ * network latency, with temporary ejection of failing instances.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Random } from '../../core/random/index.js';
-import { distanceMs } from './estimates.js';
+import { networkLatencyMs } from './estimates.js';
 import type { DispatchState } from './state.js';
 import type { InstanceCandidate, Location } from './types.js';
 
-/** Failures in a row after which an instance is avoided. */
-const FAILURES_TO_AVOID = 2;
-/** First span of avoidance; it doubles with each further failure. */
-const AVOID_MS = 500;
-const MOST_AVOID_MS = 30_000;
-/** Outstanding calls that one millisecond of network distance is worth. */
-const CALLS_PER_MS = 2;
+/** Consecutive failures after which an instance is ejected. */
+const EJECTION_FAILURE_THRESHOLD = 2;
+/** First ejection time; doubles with each further failure. */
+const BASE_EJECTION_MS = 500;
+const MAX_EJECTION_MS = 30_000;
+/** Outstanding calls that weigh as much as one millisecond of network latency. */
+const CALLS_PER_LATENCY_MS = 2;
 
 /**
- * Chooses an instance that is not in `excluded`; `undefined` when there is none. Instances that
- * failed lately are chosen only when nothing else is left: all failing at once rather means that
- * the fault is elsewhere.
+ * Chooses an instance that is not in `excluded`, or returns `undefined` if there is none. Ejected
+ * instances are used only when all are ejected, since the cause is then probably elsewhere.
  *
- * @example chooseInstance(state, candidates, inFlight, here, [], clock.now(), random)?.address
+ * @example chooseInstance(state, candidates, inFlight, location, [], clock.now(), random)?.address
  */
 export function chooseInstance(
   state: DispatchState,
   candidates: readonly InstanceCandidate[],
   outstanding: ReadonlyMap<string, number>,
-  here: Location,
+  entryLocation: Location,
   excluded: readonly string[],
   now: Milliseconds,
   random: Random,
 ): InstanceCandidate | undefined {
-  const allowed = candidates.filter((one) => !excluded.includes(one.instance));
-  const healthy = allowed.filter((one) => !isAvoided(state, one.instance, now));
+  const allowed = candidates.filter((candidate) => !excluded.includes(candidate.instance));
+  const healthy = allowed.filter((candidate) => !isEjected(state, candidate.instance, now));
   const pool = healthy.length > 0 ? healthy : allowed;
-  const costs = pool.map((candidate) => ({
+  const options = pool.map((candidate) => ({
     candidate,
     cost:
       (outstanding.get(candidate.instance) ?? 0) +
-      CALLS_PER_MS * distanceMs(here, candidate.location),
+      CALLS_PER_LATENCY_MS * networkLatencyMs(entryLocation, candidate.location),
   }));
-  const least = Math.min(...costs.map((one) => one.cost));
-  const best = costs.filter((one) => one.cost === least);
+  const minCost = Math.min(...options.map((option) => option.cost));
+  const best = options.filter((option) => option.cost === minCost);
   return best.length > 0 ? best[random.below(best.length)]?.candidate : undefined;
 }
 
 /**
- * Learns from a call that ended: `failed` when the instance could not be reached, lost the call or
- * refused it as overloaded.
+ * Records the outcome of a call. `failed` means that the instance could not be reached, lost the
+ * call or refused it as overloaded.
  *
  * @example reportInstanceEnd(state, 'pass-app-2', 'failed', clock.now());
  */
@@ -59,16 +58,16 @@
   now: Milliseconds,
 ): void {
   if (outcome === 'served') {
-    state.instances.delete(instance);
+    state.instanceFailures.delete(instance);
     return;
   }
-  const failures = (state.instances.get(instance)?.failures ?? 0) + 1;
-  const doublings = Math.max(0, failures - FAILURES_TO_AVOID);
-  const span = Math.min(MOST_AVOID_MS, AVOID_MS * 2 ** doublings);
-  const avoidUntil = failures >= FAILURES_TO_AVOID ? now + span : now;
-  state.instances.set(instance, { failures, avoidUntil });
+  const consecutiveFailures = (state.instanceFailures.get(instance)?.consecutiveFailures ?? 0) + 1;
+  const doublings = Math.max(0, consecutiveFailures - EJECTION_FAILURE_THRESHOLD);
+  const ejectionMs = Math.min(MAX_EJECTION_MS, BASE_EJECTION_MS * 2 ** doublings);
+  const ejectedUntil = consecutiveFailures >= EJECTION_FAILURE_THRESHOLD ? now + ejectionMs : now;
+  state.instanceFailures.set(instance, { consecutiveFailures, ejectedUntil });
 }
 
-function isAvoided(state: DispatchState, instance: string, now: Milliseconds): boolean {
-  return (state.instances.get(instance)?.avoidUntil ?? now) > now;
+function isEjected(state: DispatchState, instance: string, now: Milliseconds): boolean {
+  return (state.instanceFailures.get(instance)?.ejectedUntil ?? now) > now;
 }
--- a/src/controllers/routing/noisy-neighbors.ts
+++ b/src/controllers/routing/noisy-neighbors.ts
@@ -1,45 +1,46 @@
 /**
- * Which workspace crowds out others, and what it may use of the replicas while it does.
+ * Detects noisy neighbors, which are workspaces that use far more than their fair share while the
+ * entry is short of capacity, and limits what they may use.
  *
- * Guards against a flood that takes every place in every batch: the others would wait for one of
- * its requests to end, however short their own queue. What counts is a workspace's part of all that
- * is asked for, by weight: of what is in flight and waits, and of what arrived in the last moments.
- * The second shows a flood within a few tenths of a second, when the first is still the others'.
+ * Without a limit, a burst of one workspace could fill every batch slot, and requests of other
+ * workspaces would wait for one of its requests to finish. Detection compares the weighted demand
+ * (in flight and queued) and the weighted recent arrivals of workspaces. The latter reveal a burst
+ * before it dominates the demand.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import {
-  ACTIVE_MS,
+  ACTIVE_WORKSPACE_WINDOW_MS,
   ARRIVALS_HALF_LIFE_MS,
-  BUSY_FRACTION,
-  BUSY_UNANSWERED,
-  CROWD_FAIR_PARTS,
-  CROWD_LENGTH,
-  CROWD_PART,
-  CROWD_UNANSWERED,
+  BUSY_SLOT_FRACTION,
+  BUSY_AWAITING_PER_REPLICA,
+  NOISY_NEIGHBOR_FAIR_SHARE_MULTIPLE,
+  NOISY_NEIGHBOR_QUEUE_LENGTH,
+  NOISY_NEIGHBOR_DEMAND_SHARE,
+  NOISY_NEIGHBOR_MAX_AWAITING_PER_REPLICA,
   DEFAULT_BATCH_SIZE,
   HEADROOM_FRACTION,
 } from './constants.js';
-import type { CandidateIndex, DispatchState, WorkspaceTrack } from './state.js';
+import type { CandidateIndex, DispatchState, WorkspaceStats } from './state.js';
 import type { DispatchView, WaitingRequest } from './types.js';
 
-/** Notes that `request` asks for a place. */
-export function noteArrival(state: DispatchState, request: WaitingRequest, weight: number): void {
+/** Records the arrival of `request` for its workspace. */
+export function recordArrival(state: DispatchState, request: WaitingRequest, weight: number): void {
   const { arrivedAt } = request;
-  const known = state.workspaces.get(request.workspace);
+  const previous = state.workspaces.get(request.workspace);
   state.workspaces.set(request.workspace, {
     weight,
-    inFlight: known?.inFlight ?? 0,
-    unanswered: known?.unanswered ?? 0,
-    activeAt: Math.max(known?.activeAt ?? arrivedAt, arrivedAt),
-    arrivals: (known ? recentArrivals(known, arrivedAt) : 0) + 1,
+    inFlight: previous?.inFlight ?? 0,
+    awaitingFirstToken: previous?.awaitingFirstToken ?? 0,
+    lastArrivalAt: Math.max(previous?.lastArrivalAt ?? arrivedAt, arrivedAt),
+    decayedArrivals: (previous ? decayArrivals(previous, arrivedAt) : 0) + 1,
   });
 }
 
 /**
- * Whether the entry is short of places and a workspace asks for far more than its fair part, by
- * weight, while others are active.
+ * Whether `workspace` demands far more than its weighted fair share while other workspaces are
+ * active and the entry is short of batch slots.
  */
-export function crowdsOut(
+export function detectNoisyNeighbor(
   state: DispatchState,
   index: CandidateIndex,
   workspace: string,
@@ -47,68 +48,80 @@
   now: Milliseconds,
 ): boolean {
   const own = state.workspaces.get(workspace);
-  const isShort = (state.waitingOf.get(workspace) ?? 0) >= CROWD_LENGTH;
-  if (!own || !(isShort || isBusy(state, index, view))) return false;
-  let active = 0;
-  let used = 0;
-  let asked = 0;
-  let arrivals = 0;
-  for (const [name, track] of state.workspaces) {
-    if (name !== workspace && now - track.activeAt > ACTIVE_MS) continue;
-    active += 1;
-    used += track.inFlight / track.weight;
-    asked += askedByWeight(state, name, track);
-    arrivals += recentArrivals(track, now) / track.weight;
+  const hasLongQueue =
+    (state.waitingByWorkspace.get(workspace) ?? 0) >= NOISY_NEIGHBOR_QUEUE_LENGTH;
+  if (!own || !(hasLongQueue || isEntryBusy(state, index, view))) return false;
+  let activeWorkspaces = 0;
+  let totalInFlight = 0;
+  let totalDemand = 0;
+  let totalArrivals = 0;
+  for (const [name, stats] of state.workspaces) {
+    if (name !== workspace && now - stats.lastArrivalAt > ACTIVE_WORKSPACE_WINDOW_MS) continue;
+    activeWorkspaces += 1;
+    totalInFlight += stats.inFlight / stats.weight;
+    totalDemand += weightedDemand(state, name, stats);
+    totalArrivals += decayArrivals(stats, now) / stats.weight;
   }
-  // One that uses less than its fair part takes nothing from the others, however much it asks for.
-  if (active < 2 || (own.inFlight / own.weight) * active <= used) return false;
-  const part = Math.max(CROWD_PART, CROWD_FAIR_PARTS / active);
-  const hasMostAsked = askedByWeight(state, workspace, own) > asked * part;
-  const hasMostArrivals = recentArrivals(own, now) / own.weight > arrivals * part;
-  return hasMostAsked || hasMostArrivals;
+  // A workspace below its fair share of requests in flight takes no capacity from the others.
+  if (activeWorkspaces < 2 || (own.inFlight / own.weight) * activeWorkspaces <= totalInFlight)
+    return false;
+  const dominantShare = Math.max(
+    NOISY_NEIGHBOR_DEMAND_SHARE,
+    NOISY_NEIGHBOR_FAIR_SHARE_MULTIPLE / activeWorkspaces,
+  );
+  const dominatesDemand = weightedDemand(state, workspace, own) > totalDemand * dominantShare;
+  const dominatesArrivals = decayArrivals(own, now) / own.weight > totalArrivals * dominantShare;
+  return dominatesDemand || dominatesArrivals;
 }
 
 /**
- * Whether a crowding workspace has used up this entry's part of the replicas: one request for every
- * second of them that waits for its first token, and the places of their batches but for some
- * headroom. Guards against all entries sending a flood on before the first report shows it: each
- * would find every replica idle, and the engines' own queues, which know no workspaces, would fill.
+ * Whether a noisy neighbor has reached its limit of requests that await their first token, or the
+ * entry its share of batch slots less the headroom. Keeps several entries from sending a burst to
+ * replicas that still look idle in the load reports, which would fill the queues of the engines,
+ * where requests are not queued by workspace.
  */
-export function isAtCrowdLimit(
+export function isAtNoisyNeighborLimit(
   state: DispatchState,
   index: CandidateIndex,
   workspace: string,
   view: DispatchView,
 ): boolean {
-  const unanswered = state.workspaces.get(workspace)?.unanswered ?? 0;
-  if (unanswered >= Math.ceil(replicasOf(index, view) * CROWD_UNANSWERED)) return true;
-  return state.sent.size >= placesOf(index, view) * (1 - HEADROOM_FRACTION);
+  const awaitingFirstToken = state.workspaces.get(workspace)?.awaitingFirstToken ?? 0;
+  if (
+    awaitingFirstToken >=
+    Math.ceil(replicaShare(index, view) * NOISY_NEIGHBOR_MAX_AWAITING_PER_REPLICA)
+  )
+    return true;
+  return state.sent.size >= slotShare(index, view) * (1 - HEADROOM_FRACTION);
 }
 
-/** Most places are taken, or more prompts wait for their first token than the replicas can hide. */
-function isBusy(state: DispatchState, index: CandidateIndex, view: DispatchView): boolean {
-  if (state.sent.size >= placesOf(index, view) * BUSY_FRACTION) return true;
-  let unanswered = 0;
-  for (const track of state.workspaces.values()) unanswered += track.unanswered;
-  return unanswered >= replicasOf(index, view) * BUSY_UNANSWERED;
+/** Whether most batch slots are in use or too many requests await their first token. */
+function isEntryBusy(state: DispatchState, index: CandidateIndex, view: DispatchView): boolean {
+  if (state.sent.size >= slotShare(index, view) * BUSY_SLOT_FRACTION) return true;
+  let awaitingFirstToken = 0;
+  for (const stats of state.workspaces.values()) awaitingFirstToken += stats.awaitingFirstToken;
+  return awaitingFirstToken >= replicaShare(index, view) * BUSY_AWAITING_PER_REPLICA;
 }
 
-function askedByWeight(state: DispatchState, workspace: string, track: WorkspaceTrack): number {
-  return (track.inFlight + (state.waitingOf.get(workspace) ?? 0)) / track.weight;
+function weightedDemand(state: DispatchState, workspace: string, stats: WorkspaceStats): number {
+  return (stats.inFlight + (state.waitingByWorkspace.get(workspace) ?? 0)) / stats.weight;
 }
 
-/** Requests of late, each counting half as much after {@link ARRIVALS_HALF_LIFE_MS}. */
-function recentArrivals({ arrivals, activeAt }: WorkspaceTrack, now: Milliseconds): number {
-  return arrivals * 0.5 ** (Math.max(0, now - activeAt) / ARRIVALS_HALF_LIFE_MS);
+/** Number of recent arrivals at `now`, decayed with {@link ARRIVALS_HALF_LIFE_MS}. */
+function decayArrivals(
+  { decayedArrivals, lastArrivalAt }: WorkspaceStats,
+  now: Milliseconds,
+): number {
+  return decayedArrivals * 0.5 ** (Math.max(0, now - lastArrivalAt) / ARRIVALS_HALF_LIFE_MS);
 }
 
-/** This entry's part of the replicas. */
-function replicasOf(index: CandidateIndex, view: DispatchView): number {
+/** This entry's share of the replicas. */
+function replicaShare(index: CandidateIndex, view: DispatchView): number {
   return Math.max(1, index.source.length / (view.entries ?? 1));
 }
 
-/** This entry's part of all places in the replicas' batches. */
-function placesOf(index: CandidateIndex, view: DispatchView): number {
+/** This entry's share of the batch slots of all replicas. */
+function slotShare(index: CandidateIndex, view: DispatchView): number {
   const batchSize = index.source[0]?.load?.load.batchSize ?? DEFAULT_BATCH_SIZE;
-  return replicasOf(index, view) * batchSize;
+  return replicaShare(index, view) * batchSize;
 }
--- a/src/controllers/routing/prefix-cache.ts
+++ b/src/controllers/routing/prefix-cache.ts
@@ -1,162 +1,162 @@
 /**
- * Which prompt prefixes each replica is believed to have cached.
+ * Tracks which prompt prefixes each replica has probably cached.
  *
- * Beliefs come from own sends, which an engine caches as it prefills them, and from the engines'
- * cache events. They are hints: a wrong one costs prefill time, never a wrong answer.
+ * The sources are the requests that this entry sent and the cache events of the engines. The data is
+ * a hint: if it is wrong, prompts are prefilled again, but answers stay correct.
  */
 import type { CacheEvent, CacheEventList } from '../../adapters/engines/protocol.js';
-import { MAX_BELIEVED_PREFIXES, MAX_HOLDERS } from './constants.js';
-import type { CacheBelief, DispatchState } from './state.js';
+import { MAX_PREFIXES_PER_REPLICA, MAX_REPLICAS_PER_PREFIX } from './constants.js';
+import type { ReplicaCache, DispatchState } from './state.js';
 import type { Prefix } from './types.js';
 
 /**
- * Takes in a replica's cache events. Guards against beliefs that outlive the cache: a gap in the
- * sequence may hide evictions and a new incarnation starts with an empty cache, which would show as
- * requests sent to a replica that must prefill all the same. Either drops what was believed.
+ * Applies cache events of a replica. Drops the tracked prefixes on a gap in the sequence, which may
+ * hide evictions, and on a new incarnation, which starts with an empty cache.
  *
  * @example recordCacheEvents(state, 'chat-1', { incarnation: 'a', events: [], oldest: 1 });
  */
 export function recordCacheEvents(
   state: DispatchState,
   replica: string,
-  list: CacheEventList,
+  eventList: CacheEventList,
 ): void {
-  const belief = openBelief(state, replica);
-  if (belief.incarnation !== undefined && belief.incarnation !== list.incarnation) {
-    dropBelief(state, replica);
+  const cache = getOrCreateReplicaCache(state, replica);
+  if (cache.incarnation !== undefined && cache.incarnation !== eventList.incarnation) {
+    clearReplicaCache(state, replica);
   }
-  belief.incarnation = list.incarnation;
-  if (belief.sequence !== undefined && list.oldest > belief.sequence + 1) {
-    dropBelief(state, replica);
+  cache.incarnation = eventList.incarnation;
+  if (cache.lastSequence !== undefined && eventList.oldest > cache.lastSequence + 1) {
+    clearReplicaCache(state, replica);
   }
-  for (const event of list.events) applyEvent(state, replica, belief, event);
+  for (const event of eventList.events) applyCacheEvent(state, replica, cache, event);
 }
 
-/** The last cache event taken in from `replica`, to ask for those after it; 0 before the first. */
+/** Sequence number of the last cache event applied for `replica`; 0 if there is none. */
 export function lastCacheSequence(state: DispatchState, replica: string): number {
-  return state.beliefs.get(replica)?.sequence ?? 0;
+  return state.replicaCaches.get(replica)?.lastSequence ?? 0;
 }
 
-/** Believes that `replica` caches `prefixes`, because a request with them was sent to it. */
-export function believeSent(
+/** Records that `replica` caches `prefixes` because it was sent a request with them. */
+export function recordSentPrefixes(
   state: DispatchState,
   replica: string,
   prefixes: readonly Prefix[],
 ): void {
-  const belief = openBelief(state, replica);
-  // The shortest is remembered last: the ends of prompts, which few requests share, go first.
-  for (const prefix of [...prefixes].reverse()) remember(state, replica, belief, prefix);
+  const cache = getOrCreateReplicaCache(state, replica);
+  // Add the shortest last, so that long prefixes, which few requests share, are evicted first.
+  for (const prefix of [...prefixes].reverse()) addCachedPrefix(state, replica, cache, prefix);
 }
 
-/** Tokens at the start of a prompt that `replica` is believed to have cached. */
+/** Counts the leading prompt tokens that `replica` has probably cached. */
 export function countCachedTokens(
   state: DispatchState,
   replica: string,
   prefixes: readonly Prefix[],
 ): number {
-  const belief = state.beliefs.get(replica);
+  const cache = state.replicaCaches.get(replica);
   const [shortest] = prefixes;
-  if (!belief || !shortest || !belief.prefixes.has(shortest.hash)) return 0;
+  if (!cache || !shortest || !cache.prefixes.has(shortest.hash)) return 0;
   for (let index = prefixes.length - 1; index >= 0; index -= 1) {
     const prefix = prefixes[index];
-    if (prefix && belief.prefixes.has(prefix.hash)) return prefix.tokens;
+    if (prefix && cache.prefixes.has(prefix.hash)) return prefix.tokens;
   }
   return 0;
 }
 
-/** The longest prefix that any replica is believed to hold. */
-export function longestKnown(
+/** Returns the longest prefix that any replica has probably cached. */
+export function findLongestCachedPrefix(
   state: DispatchState,
   prefixes: readonly Prefix[],
 ): Prefix | undefined {
-  return prefixes.findLast((prefix) => state.holders.has(prefix.hash));
+  return prefixes.findLast((prefix) => state.replicasByPrefix.has(prefix.hash));
 }
 
-/** Up to `limit` replicas that are believed to hold the longest known prefixes. */
-export function listHolders(
+/** Lists up to `limit` replicas that have probably cached a prefix, longest prefixes first. */
+export function listReplicasWithPrefix(
   state: DispatchState,
   prefixes: readonly Prefix[],
   limit: number,
 ): string[] {
   const found = new Set<string>();
   for (let index = prefixes.length - 1; index >= 0 && found.size < limit; index -= 1) {
-    const holders = state.holders.get(prefixes[index]?.hash ?? '');
-    for (const replica of holders ?? []) {
+    const replicas = state.replicasByPrefix.get(prefixes[index]?.hash ?? '');
+    for (const replica of replicas ?? []) {
       if (found.size < limit) found.add(replica);
     }
   }
   return [...found];
 }
 
-/** Forgets all that is believed of `replica`'s cache. */
-export function dropBelief(state: DispatchState, replica: string): void {
-  const belief = state.beliefs.get(replica);
-  if (!belief) return;
-  for (const hash of belief.prefixes.keys()) forgetHolder(state, replica, hash);
-  belief.prefixes.clear();
-  delete belief.sequence;
+/** Drops all tracked prefixes of `replica`. */
+export function clearReplicaCache(state: DispatchState, replica: string): void {
+  const cache = state.replicaCaches.get(replica);
+  if (!cache) return;
+  for (const hash of cache.prefixes.keys()) removeReplicaForPrefix(state, replica, hash);
+  cache.prefixes.clear();
+  delete cache.lastSequence;
 }
 
-function applyEvent(
+function applyCacheEvent(
   state: DispatchState,
   replica: string,
-  belief: CacheBelief,
+  cache: ReplicaCache,
   event: CacheEvent,
 ): void {
-  const last = belief.sequence;
-  if (last !== undefined && event.sequence <= last) return;
-  if (last !== undefined && event.sequence > last + 1) dropBelief(state, replica);
-  belief.sequence = event.sequence;
+  const lastSequence = cache.lastSequence;
+  if (lastSequence !== undefined && event.sequence <= lastSequence) return;
+  if (lastSequence !== undefined && event.sequence > lastSequence + 1)
+    clearReplicaCache(state, replica);
+  cache.lastSequence = event.sequence;
   switch (event.kind) {
     case 'stored':
-      remember(state, replica, belief, {
+      addCachedPrefix(state, replica, cache, {
         hash: event.prefixHash,
         tokens: event.tokens,
       });
       return;
     case 'evicted':
-      belief.prefixes.delete(event.prefixHash);
-      forgetHolder(state, replica, event.prefixHash);
+      cache.prefixes.delete(event.prefixHash);
+      removeReplicaForPrefix(state, replica, event.prefixHash);
       return;
   }
 }
 
-function openBelief(state: DispatchState, replica: string): CacheBelief {
-  const known = state.beliefs.get(replica);
-  if (known) return known;
-  const belief: CacheBelief = { prefixes: new Map() };
-  state.beliefs.set(replica, belief);
-  return belief;
+function getOrCreateReplicaCache(state: DispatchState, replica: string): ReplicaCache {
+  const existing = state.replicaCaches.get(replica);
+  if (existing) return existing;
+  const cache: ReplicaCache = { prefixes: new Map() };
+  state.replicaCaches.set(replica, cache);
+  return cache;
 }
 
-function remember(
+function addCachedPrefix(
   state: DispatchState,
   replica: string,
-  belief: CacheBelief,
+  cache: ReplicaCache,
   prefix: Prefix,
 ): void {
-  belief.prefixes.delete(prefix.hash);
-  belief.prefixes.set(prefix.hash, prefix.tokens);
-  addHolder(state, replica, prefix.hash);
-  if (belief.prefixes.size <= MAX_BELIEVED_PREFIXES) return;
-  const [oldest] = belief.prefixes.keys();
-  if (oldest === undefined) return;
-  belief.prefixes.delete(oldest);
-  forgetHolder(state, replica, oldest);
+  cache.prefixes.delete(prefix.hash);
+  cache.prefixes.set(prefix.hash, prefix.tokens);
+  addReplicaForPrefix(state, replica, prefix.hash);
+  if (cache.prefixes.size <= MAX_PREFIXES_PER_REPLICA) return;
+  const [leastRecentlyUsed] = cache.prefixes.keys();
+  if (leastRecentlyUsed === undefined) return;
+  cache.prefixes.delete(leastRecentlyUsed);
+  removeReplicaForPrefix(state, replica, leastRecentlyUsed);
 }
 
-function addHolder(state: DispatchState, replica: string, hash: string): void {
-  const holders = state.holders.get(hash) ?? new Set<string>();
-  state.holders.set(hash, holders);
-  holders.delete(replica);
-  holders.add(replica);
-  if (holders.size <= MAX_HOLDERS) return;
-  const [oldest] = holders;
-  if (oldest !== undefined) holders.delete(oldest);
+function addReplicaForPrefix(state: DispatchState, replica: string, hash: string): void {
+  const replicas = state.replicasByPrefix.get(hash) ?? new Set<string>();
+  state.replicasByPrefix.set(hash, replicas);
+  replicas.delete(replica);
+  replicas.add(replica);
+  if (replicas.size <= MAX_REPLICAS_PER_PREFIX) return;
+  const [oldest] = replicas;
+  if (oldest !== undefined) replicas.delete(oldest);
 }
 
-function forgetHolder(state: DispatchState, replica: string, hash: string): void {
-  const holders = state.holders.get(hash);
-  holders?.delete(replica);
-  if (holders?.size === 0) state.holders.delete(hash);
+function removeReplicaForPrefix(state: DispatchState, replica: string, hash: string): void {
+  const replicas = state.replicasByPrefix.get(hash);
+  replicas?.delete(replica);
+  if (replicas?.size === 0) state.replicasByPrefix.delete(hash);
 }
--- a/src/controllers/routing/prefixes.ts
+++ b/src/controllers/routing/prefixes.ts
@@ -1,26 +1,27 @@
 /**
- * Names for the starts of prompts, so that entries and engines agree on what is cached where.
+ * Hashes of prompt prefixes, by which entries and engines identify cached prefixes.
  *
- * The prompt's text is cut into blocks of {@link BLOCK_TOKENS} tokens. Each block's hash covers the
- * hash before it, so that one hash names the whole prompt up to that block. SHA-256 is used because
- * a hash also addresses exported KV cache: a collision would hand one prompt another one's state.
+ * The prompt is split into blocks of {@link BLOCK_TOKENS} tokens. Each hash covers the previous hash
+ * and one block, so it identifies the whole prompt up to the end of that block. The hash must be
+ * collision-resistant (SHA-256) because it also addresses exported KV cache: with a collision, a
+ * prompt would be continued from the state of another one.
  */
 import { createHash } from 'node:crypto';
 import type { Message } from '../../adapters/engines/protocol.js';
 import type { Prefix } from './types.js';
 
-/** Tokens in one block of a prompt. */
+/** Tokens per block. */
 export const BLOCK_TOKENS = 64;
-/** Characters taken for one token where no tokenizer is at hand. */
+/** Characters per token assumed in the absence of a tokenizer. */
 export const CHARACTERS_PER_TOKEN = 4;
-/** Blocks that are hashed at most; a longer prompt is named by its start. */
+/** Limit of hashed blocks per prompt. */
 export const MAX_BLOCKS = 64;
 
 const BLOCK_CHARACTERS = BLOCK_TOKENS * CHARACTERS_PER_TOKEN;
 const HASH_LENGTH = 32;
 
 /**
- * The full blocks at the start of a prompt, shortest prefix first.
+ * Hashes the prefixes of a prompt that end at full blocks, shortest first.
  *
  * @example hashPrefixes([{ role: 'user', content: 'x'.repeat(300) }]).length // 1
  */
@@ -38,7 +39,7 @@
 }
 
 /**
- * Tokens of a prompt, estimated from its length.
+ * Estimates the number of tokens of a prompt from its length.
  *
  * @example estimateTokens([{ role: 'user', content: 'How many tokens?' }]) // 6
  */
@@ -48,7 +49,7 @@
   return Math.ceil(characters / CHARACTERS_PER_TOKEN);
 }
 
-/** The text that blocks are cut from, up to `limit` characters. */
+/** Serializes messages for hashing, up to `limit` characters. */
 function joinMessages(messages: readonly Message[], limit: number): string {
   let text = '';
   for (const message of messages) {
--- a/src/controllers/routing/priorities.ts
+++ b/src/controllers/routing/priorities.ts
@@ -1,17 +1,17 @@
 /**
- * The priority that a request is given at an engine.
+ * Priorities of requests at an engine.
  */
 
-/** How far a request of a crowding workspace is put back: less than the default classes differ. */
-const CROWDING_STEP = 2;
+/** Smaller than the distance between classes in the default policy. */
+const NOISY_NEIGHBOR_PENALTY = 2;
 
 /**
- * The priority of a request's class, lowered for a workspace that crowds out others: what of it has
- * been sent lets the others' requests pass at the engine too. It stays above the next class by the
- * default policy.
+ * Returns the priority of a request at an engine. Noisy neighbors get a lower one than the rest of
+ * their class, so that other workspaces overtake them in the queue of the engine as well. With the
+ * default policy it stays above the priority of the next class.
  *
  * @example enginePriority(5, true) // 3
  */
-export function enginePriority(classPriority: number, isCrowding: boolean): number {
-  return isCrowding ? Math.max(0, classPriority - CROWDING_STEP) : classPriority;
+export function enginePriority(classPriority: number, isNoisyNeighbor: boolean): number {
+  return isNoisyNeighbor ? Math.max(0, classPriority - NOISY_NEIGHBOR_PENALTY) : classPriority;
 }
--- a/src/controllers/routing/queues.ts
+++ b/src/controllers/routing/queues.ts
@@ -1,25 +1,25 @@
 /**
- * The bounded queues of waiting requests and the order in which they are served.
+ * Bounded request queues and the order in which they are served.
  *
- * Classes are served in order, gate first; a lower class is served out of turn once
- * {@link STARVATION_FACTOR} times its next request's cost went past it, so that it keeps a small
- * share of the throughput. Within a class, workspaces share by weight: each lane counts the
- * weighted tokens it was served, and the one with the least is next (start-time fair queueing, a
- * kin of deficit round robin that needs no quantum). A lane that was empty starts where the others
- * stand, so that nobody saves up by staying away.
+ * Classes are served in order of priority. To prevent starvation, a class is served out of order
+ * once higher classes were served {@link STARVATION_FACTOR} times the cost of its next request.
+ * Within a class, workspaces are served by start-time fair queueing: the virtual time of a workspace
+ * queue advances by the served tokens divided by its weight, and the queue with the lowest virtual
+ * time is next. An empty queue that becomes active starts at the virtual time of the class, so that
+ * idle workspaces accumulate no credit.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import { concludeGivenUp } from '../retries/given-up.js';
 import { CLASS_ORDER, STARVATION_FACTOR } from './constants.js';
-import { noteArrival } from './noisy-neighbors.js';
-import { estimateRetryAfter } from './wait-estimates.js';
-import type { ClassQueue, DispatchState, Lane, ModelQueue } from './state.js';
+import { recordArrival } from './noisy-neighbors.js';
+import { estimateRetryAfterMs } from './wait-estimates.js';
+import type { ClassQueue, DispatchState, WorkspaceQueue, ModelQueue } from './state.js';
 import type { WaitingRequest } from './types.js';
 
 /**
- * Puts `request` into its workspace's queue, or refuses it when `queueLength` requests of the
- * workspace wait already. A request that is offered again keeps the place of its arrival.
+ * Queues `request`, or refuses it if the workspace already has `queueLength` queued requests. A
+ * request that is offered again after an attempt is queued by its original arrival time.
  *
  * @example offerRequest(state, request, 64, 1).mapErr((failure) => answer(failure));
  */
@@ -29,22 +29,22 @@
   queueLength: number,
   workspaceWeight: number,
 ): Result<void, Failure> {
-  const waiting = state.waitingOf.get(request.workspace) ?? 0;
-  const queue = openQueue(state, request.model);
-  if (waiting >= queueLength) return err(refuseFull(queue, request, waiting));
+  const waiting = state.waitingByWorkspace.get(request.workspace) ?? 0;
+  const queue = getOrCreateModelQueue(state, request.model);
+  if (waiting >= queueLength) return err(createQueueFullFailure(queue, request, waiting));
   if (state.waiting.has(request.ticket)) return ok(undefined);
-  noteArrival(state, request, workspaceWeight);
-  const lane = openLane(queue, request, workspaceWeight);
-  insertByArrival(lane.requests, request);
+  recordArrival(state, request, workspaceWeight);
+  const workspaceQueue = getOrCreateWorkspaceQueue(queue, request, workspaceWeight);
+  insertByArrival(workspaceQueue.requests, request);
   queue.length += 1;
-  queue.unjudged.push(request.ticket);
+  queue.uncheckedTickets.push(request.ticket);
   state.waiting.set(request.ticket, request);
   state.nextDeadlineAt = Math.min(state.nextDeadlineAt, request.deadlineAt);
-  state.waitingOf.set(request.workspace, waiting + 1);
+  state.waitingByWorkspace.set(request.workspace, waiting + 1);
   return ok(undefined);
 }
 
-/** Forgets a request whose caller has gone; `false` when it does not wait (any more). */
+/** Removes a request that was cancelled by its caller; returns `false` if it is not queued. */
 export function withdrawRequest(state: DispatchState, ticket: string): boolean {
   const request = state.waiting.get(ticket);
   if (!request) return false;
@@ -52,115 +52,127 @@
   return true;
 }
 
-/** Takes `request` out of its lane. */
+/** Removes `request` from its queue. */
 export function removeRequest(state: DispatchState, request: WaitingRequest): void {
   const queue = state.queues.get(request.model);
   const classQueue = queue?.classes[CLASS_ORDER.indexOf(request.class)];
-  const lane = classQueue?.lanes.get(request.workspace);
-  if (!queue || !classQueue || !lane) return;
-  const index = lane.requests.indexOf(request);
+  const workspaceQueue = classQueue?.workspaceQueues.get(request.workspace);
+  if (!queue || !classQueue || !workspaceQueue) return;
+  const index = workspaceQueue.requests.indexOf(request);
   if (index < 0) return;
-  lane.requests.splice(index, 1);
-  if (lane.requests.length === 0) closeLane(classQueue, lane);
-  if (classQueue.lanes.size === 0) classQueue.passedOver = 0;
+  workspaceQueue.requests.splice(index, 1);
+  if (workspaceQueue.requests.length === 0) removeWorkspaceQueue(classQueue, workspaceQueue);
+  if (classQueue.workspaceQueues.size === 0) classQueue.bypassedCost = 0;
   queue.length -= 1;
   state.waiting.delete(request.ticket);
-  const left = (state.waitingOf.get(request.workspace) ?? 1) - 1;
-  if (left > 0) state.waitingOf.set(request.workspace, left);
-  else state.waitingOf.delete(request.workspace);
+  const remaining = (state.waitingByWorkspace.get(request.workspace) ?? 1) - 1;
+  if (remaining > 0) state.waitingByWorkspace.set(request.workspace, remaining);
+  else state.waitingByWorkspace.delete(request.workspace);
 }
 
-/** The classes of `queue` that have requests waiting, in the order in which to serve them now. */
+/** Returns the classes with queued requests in the order in which to serve them. */
 export function orderClasses(queue: ModelQueue): ClassQueue[] {
-  const waiting = queue.classes.filter((classQueue) => classQueue.lanes.size > 0);
+  const waiting = queue.classes.filter((classQueue) => classQueue.workspaceQueues.size > 0);
   const starving = waiting.find(isStarving);
   if (!starving) return waiting;
   return [starving, ...waiting.filter((classQueue) => classQueue !== starving)];
 }
 
-/** The lanes of a class, the one to serve first in front. */
-export function orderLanes(classQueue: ClassQueue): Lane[] {
-  return [...classQueue.lanes.values()].sort((one, other) => one.served - other.served);
+/** Returns the workspace queues of a class in the order in which to serve them. */
+export function orderWorkspaceQueues(classQueue: ClassQueue): WorkspaceQueue[] {
+  return [...classQueue.workspaceQueues.values()].sort((a, b) => a.virtualTime - b.virtualTime);
 }
 
-/** Counts `request` as served: its lane moves back, and lower classes have been passed over. */
-export function chargeLane(queue: ModelQueue, request: WaitingRequest): void {
-  const cost = costOf(request);
+/** Charges the cost of `request` to its workspace, and counts it as bypassing lower classes. */
+export function chargeWorkspace(queue: ModelQueue, request: WaitingRequest): void {
+  const cost = tokenCost(request);
   for (const classQueue of queue.classes) {
-    if (classQueue.class === request.class) chargeOwn(classQueue, request, cost);
-    else if (isHigher(request, classQueue) && classQueue.lanes.size > 0)
-      classQueue.passedOver += cost;
+    if (classQueue.class === request.class) advanceVirtualTime(classQueue, request, cost);
+    else if (outranksClass(request, classQueue) && classQueue.workspaceQueues.size > 0)
+      classQueue.bypassedCost += cost;
   }
 }
 
-/** Tokens that a request is estimated to take of an engine. */
-function costOf(request: WaitingRequest): number {
+/** Estimated cost of a request, in tokens. */
+function tokenCost(request: WaitingRequest): number {
   return Math.max(1, request.promptTokens + request.maxTokens);
 }
 
-function chargeOwn(classQueue: ClassQueue, request: WaitingRequest, cost: number): void {
-  classQueue.passedOver = 0;
-  const lane = classQueue.lanes.get(request.workspace);
-  if (!lane) return;
-  classQueue.served = Math.max(classQueue.served, lane.served);
-  lane.served += cost / lane.weight;
+function advanceVirtualTime(classQueue: ClassQueue, request: WaitingRequest, cost: number): void {
+  classQueue.bypassedCost = 0;
+  const workspaceQueue = classQueue.workspaceQueues.get(request.workspace);
+  if (!workspaceQueue) return;
+  classQueue.virtualTime = Math.max(classQueue.virtualTime, workspaceQueue.virtualTime);
+  workspaceQueue.virtualTime += cost / workspaceQueue.weight;
 }
 
-function isHigher(request: WaitingRequest, classQueue: ClassQueue): boolean {
+function outranksClass(request: WaitingRequest, classQueue: ClassQueue): boolean {
   return CLASS_ORDER.indexOf(request.class) < CLASS_ORDER.indexOf(classQueue.class);
 }
 
 function isStarving(classQueue: ClassQueue): boolean {
-  const head = orderLanes(classQueue)[0]?.requests[0];
-  return head !== undefined && classQueue.passedOver >= STARVATION_FACTOR * costOf(head);
+  const head = orderWorkspaceQueues(classQueue)[0]?.requests[0];
+  return head !== undefined && classQueue.bypassedCost >= STARVATION_FACTOR * tokenCost(head);
 }
 
-function openQueue(state: DispatchState, model: string): ModelQueue {
-  const known = state.queues.get(model);
-  if (known) return known;
+function getOrCreateModelQueue(state: DispatchState, model: string): ModelQueue {
+  const existing = state.queues.get(model);
+  if (existing) return existing;
   const classes = CLASS_ORDER.map((name) => ({
     class: name,
-    lanes: new Map<string, Lane>(),
-    served: 0,
-    left: new Map<string, number>(),
-    passedOver: 0,
+    workspaceQueues: new Map<string, WorkspaceQueue>(),
+    virtualTime: 0,
+    carriedVirtualTimes: new Map<string, number>(),
+    bypassedCost: 0,
   }));
-  const queue: ModelQueue = { model, classes, length: 0, slotMs: 0, engineWaitMs: 0, unjudged: [] };
+  const queue: ModelQueue = {
+    model,
+    classes,
+    length: 0,
+    slotIntervalMs: 0,
+    minEngineWaitMs: 0,
+    uncheckedTickets: [],
+  };
   state.queues.set(model, queue);
   return queue;
 }
 
-function openLane(queue: ModelQueue, request: WaitingRequest, weight: number): Lane {
+function getOrCreateWorkspaceQueue(
+  queue: ModelQueue,
+  request: WaitingRequest,
+  weight: number,
+): WorkspaceQueue {
   const classQueue = queue.classes[CLASS_ORDER.indexOf(request.class)];
-  const known = classQueue?.lanes.get(request.workspace);
-  if (known) {
-    known.weight = weight;
-    return known;
+  const existing = classQueue?.workspaceQueues.get(request.workspace);
+  if (existing) {
+    existing.weight = weight;
+    return existing;
   }
-  const served = Math.max(
-    classQueue?.served ?? 0,
-    classQueue?.left.get(request.workspace) ?? Number.NEGATIVE_INFINITY,
+  const virtualTime = Math.max(
+    classQueue?.virtualTime ?? 0,
+    classQueue?.carriedVirtualTimes.get(request.workspace) ?? Number.NEGATIVE_INFINITY,
   );
-  const lane: Lane = {
+  const workspaceQueue: WorkspaceQueue = {
     workspace: request.workspace,
     weight,
     requests: [],
-    served,
+    virtualTime,
   };
-  classQueue?.lanes.set(request.workspace, lane);
-  return lane;
+  classQueue?.workspaceQueues.set(request.workspace, workspaceQueue);
+  return workspaceQueue;
 }
 
 /**
- * Drops an empty lane, remembering that it is ahead. Guards against a workspace that keeps one
- * large request waiting at a time and, with a fresh lane each time, takes every other turn.
+ * Removes an empty workspace queue but keeps its virtual time if it is ahead. Otherwise a workspace
+ * with one large queued request at a time would start over each time and exceed its share.
  */
-function closeLane(classQueue: ClassQueue, lane: Lane): void {
-  classQueue.lanes.delete(lane.workspace);
-  for (const [workspace, served] of classQueue.left) {
-    if (served <= classQueue.served) classQueue.left.delete(workspace);
+function removeWorkspaceQueue(classQueue: ClassQueue, workspaceQueue: WorkspaceQueue): void {
+  classQueue.workspaceQueues.delete(workspaceQueue.workspace);
+  for (const [workspace, virtualTime] of classQueue.carriedVirtualTimes) {
+    if (virtualTime <= classQueue.virtualTime) classQueue.carriedVirtualTimes.delete(workspace);
   }
-  if (lane.served > classQueue.served) classQueue.left.set(lane.workspace, lane.served);
+  if (workspaceQueue.virtualTime > classQueue.virtualTime)
+    classQueue.carriedVirtualTimes.set(workspaceQueue.workspace, workspaceQueue.virtualTime);
 }
 
 function insertByArrival(requests: WaitingRequest[], request: WaitingRequest): void {
@@ -169,8 +181,12 @@
   requests.splice(index, 0, request);
 }
 
-function refuseFull(queue: ModelQueue, request: WaitingRequest, waiting: number): Failure {
+function createQueueFullFailure(
+  queue: ModelQueue,
+  request: WaitingRequest,
+  waiting: number,
+): Failure {
   const reason = `${waiting} requests of workspace "${request.workspace}" wait already`;
-  const failure = createFailure('overloaded', { reason }, estimateRetryAfter(queue, 1));
+  const failure = createFailure('overloaded', { reason }, estimateRetryAfterMs(queue, 1));
   return concludeGivenUp(failure, request.mayHaveRun ?? false);
 }
--- a/src/controllers/routing/replica-selection.ts
+++ b/src/controllers/routing/replica-selection.ts
@@ -1,38 +1,38 @@
 /**
- * The choice of a replica: a bounded sample of the candidates, the least estimated time to first
- * token, and among those that come close the one sent to longest ago.
+ * Selects a replica for a request: the lowest estimated time to first token in a bounded sample of
+ * the candidates, with ties going to the least recently used replica.
  *
- * The sample has the replicas that are believed to hold the prompt's prefix, and a few at random
- * from the own failure domain, the own region and elsewhere, so that a choice costs the same at
- * eight candidates and at thousands.
+ * The sample consists of the replicas that probably have the prompt's prefix cached and of random
+ * candidates from the same failure domain, the same region and other regions. Its size is bounded,
+ * so the cost of a choice doesn't grow with the number of candidates.
  */
 import type { SentCount } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Random } from '../../core/random/index.js';
-import { listHolders, longestKnown } from './prefix-cache.js';
+import { listReplicasWithPrefix, findLongestCachedPrefix } from './prefix-cache.js';
 import {
-  AFFINITY_SAMPLE,
-  LOCAL_SAMPLE,
-  REGION_SAMPLE,
-  REMOTE_SAMPLE,
-  TIE_FRACTION,
-  TIE_MS,
+  PREFIX_AFFINITY_SAMPLE_SIZE,
+  SAME_DOMAIN_SAMPLE_SIZE,
+  SAME_REGION_SAMPLE_SIZE,
+  OTHER_REGION_SAMPLE_SIZE,
+  TIE_TOLERANCE_FRACTION,
+  TIE_TOLERANCE_MS,
 } from './constants.js';
-import { estimateCandidate, type Estimate } from './estimates.js';
-import { buildRing, listHomes } from './hash-ring.js';
+import { estimateReplica, type ReplicaEstimate } from './estimates.js';
+import { buildHashRing, listPreferredReplicas } from './hash-ring.js';
 import type { CandidateIndex, DispatchState } from './state.js';
 import type { Candidate, DispatchView, WaitingRequest } from './types.js';
 
-/** What came of one choice. */
-export interface Choice {
-  /** The replica to send to; absent when none in the sample has room. */
-  chosen: Estimate | undefined;
-  /** The least wait for a first token in the sample, with or without room. */
-  leastWaitMs: Milliseconds | undefined;
-  /** Mean span between two places coming free, over all candidates. */
-  slotMs: Milliseconds;
-  /** Whether any candidate is not excluded. */
-  anyAllowed: boolean;
+/** Result of one choice. */
+export interface ReplicaChoice {
+  /** The replica to send to; undefined when none in the sample has capacity. */
+  chosen: ReplicaEstimate | undefined;
+  /** Shortest wait in the sample, including replicas without capacity. */
+  minWaitMs: Milliseconds | undefined;
+  /** Mean interval at which a batch slot becomes free at any of the candidates. */
+  slotIntervalMs: Milliseconds;
+  /** Whether any candidate is left after exclusions. */
+  hasCandidates: boolean;
 }
 
 /** Chooses a replica for `request` among the candidates of its model. */
@@ -41,129 +41,142 @@
   index: CandidateIndex,
   request: WaitingRequest,
   view: DispatchView,
-  leavesHeadroom: boolean,
+  isNoisyNeighbor: boolean,
   now: Milliseconds,
   random: Random,
-): Choice {
-  const known = longestKnown(state, request.prefixes);
-  const homes = known ? listHomes(index, known.hash) : [];
-  const sample = sampleCandidates(state, index, homes, request, random);
-  const asked = { request, leavesHeadroom, knownTokens: known?.tokens ?? 0 };
+): ReplicaChoice {
+  const longestCached = findLongestCachedPrefix(state, request.prefixes);
+  const preferred = longestCached ? listPreferredReplicas(index, longestCached.hash) : [];
+  const sample = sampleCandidates(state, index, preferred, request, random);
+  const estimated = {
+    request,
+    isNoisyNeighbor,
+    longestCachedTokens: longestCached?.tokens ?? 0,
+  };
   const estimates = sample.map((candidate) =>
-    estimateCandidate(state, candidate, homes.includes(candidate), asked, view, now),
+    estimateReplica(state, candidate, preferred.includes(candidate), estimated, view, now),
   );
-  const slots = estimates.reduce((sum, estimate) => sum + estimate.slotMs, 0);
+  const totalSlotIntervalMs = estimates.reduce((sum, estimate) => sum + estimate.slotIntervalMs, 0);
   return {
-    chosen: pickAmongBest(estimates),
-    leastWaitMs: leastWait(estimates),
-    slotMs: estimates.length > 0 ? slots / estimates.length / index.source.length : 0,
-    anyAllowed: sample.length > 0,
+    chosen: pickLeastRecentlyUsedOfBest(estimates),
+    minWaitMs: findMinWait(estimates),
+    slotIntervalMs:
+      estimates.length > 0 ? totalSlotIntervalMs / estimates.length / index.source.length : 0,
+    hasCandidates: sample.length > 0,
   };
 }
 
-/** The index of a model's candidates, built anew only when the array is another one. */
+/** Returns the index of a model's candidates. Rebuilt only when the array changes. */
 export function indexCandidates(
   state: DispatchState,
   model: string,
   view: DispatchView,
 ): CandidateIndex {
   const source = view.candidatesOf(model);
-  const known = state.candidates.get(model);
-  if (known?.source === source) return known;
+  const existing = state.candidateIndexes.get(model);
+  if (existing?.source === source) return existing;
   const index: CandidateIndex = {
     source,
-    local: [],
-    region: [],
-    remote: [],
+    sameDomain: [],
+    sameRegion: [],
+    otherRegions: [],
     byReplica: new Map(),
-    ring: [],
+    hashRing: [],
   };
   for (const candidate of source) addToIndex(index, candidate, view);
-  index.ring = buildRing([...index.local, ...index.region]);
-  state.candidates.set(model, index);
+  index.hashRing = buildHashRing([...index.sameDomain, ...index.sameRegion]);
+  state.candidateIndexes.set(model, index);
   return index;
 }
 
-/** Indexes what peers sent by replica; only when the array is another one. */
-export function indexPeers(state: DispatchState, source: readonly SentCount[]): void {
-  if (state.peers.source === source) return;
+/** Indexes the sends of peers by replica. Rebuilt only when the array changes. */
+export function indexPeerSends(state: DispatchState, source: readonly SentCount[]): void {
+  if (state.peerSends.source === source) return;
   const byReplica = new Map<string, SentCount>();
-  for (const count of source) byReplica.set(count.replica, addCounts(byReplica, count));
-  state.peers = { source, byReplica };
+  for (const count of source) byReplica.set(count.replica, mergeSentCounts(byReplica, count));
+  state.peerSends = { source, byReplica };
 }
 
-function addCounts(byReplica: Map<string, SentCount>, count: SentCount): SentCount {
-  const known = byReplica.get(count.replica);
-  if (!known) return count;
+function mergeSentCounts(byReplica: Map<string, SentCount>, count: SentCount): SentCount {
+  const previous = byReplica.get(count.replica);
+  if (!previous) return count;
   return {
     replica: count.replica,
-    requests: known.requests + count.requests,
-    promptTokens: known.promptTokens + count.promptTokens,
-    outputTokens: known.outputTokens + count.outputTokens,
+    requests: previous.requests + count.requests,
+    promptTokens: previous.promptTokens + count.promptTokens,
+    outputTokens: previous.outputTokens + count.outputTokens,
   };
 }
 
 function addToIndex(index: CandidateIndex, candidate: Candidate, view: DispatchView): void {
   index.byReplica.set(candidate.replica, candidate);
-  if (candidate.location.failureDomain === view.here.failureDomain) index.local.push(candidate);
-  else if (candidate.location.region === view.here.region) index.region.push(candidate);
-  else index.remote.push(candidate);
+  if (candidate.location.failureDomain === view.here.failureDomain)
+    index.sameDomain.push(candidate);
+  else if (candidate.location.region === view.here.region) index.sameRegion.push(candidate);
+  else index.otherRegions.push(candidate);
 }
 
 function sampleCandidates(
   state: DispatchState,
   index: CandidateIndex,
-  homes: readonly Candidate[],
+  preferred: readonly Candidate[],
   request: WaitingRequest,
   random: Random,
 ): Candidate[] {
-  const sample = new Set<Candidate>(homes);
-  for (const replica of listHolders(state, request.prefixes, AFFINITY_SAMPLE)) {
+  const sample = new Set<Candidate>(preferred);
+  for (const replica of listReplicasWithPrefix(
+    state,
+    request.prefixes,
+    PREFIX_AFFINITY_SAMPLE_SIZE,
+  )) {
     const candidate = index.byReplica.get(replica);
     if (candidate) sample.add(candidate);
   }
-  addSample(sample, index.local, LOCAL_SAMPLE, random);
-  addSample(sample, index.region, REGION_SAMPLE, random);
-  addSample(sample, index.remote, REMOTE_SAMPLE, random);
+  addRandomSample(sample, index.sameDomain, SAME_DOMAIN_SAMPLE_SIZE, random);
+  addRandomSample(sample, index.sameRegion, SAME_REGION_SAMPLE_SIZE, random);
+  addRandomSample(sample, index.otherRegions, OTHER_REGION_SAMPLE_SIZE, random);
   if (request.excluded.length === 0) return [...sample];
-  const allowed = [...sample].filter((one) => !request.excluded.includes(one.replica));
+  const allowed = [...sample].filter((candidate) => !request.excluded.includes(candidate.replica));
   if (allowed.length > 0) return allowed;
-  return index.source.filter((one) => !request.excluded.includes(one.replica));
+  return index.source.filter((candidate) => !request.excluded.includes(candidate.replica));
 }
 
-function addSample(
+function addRandomSample(
   sample: Set<Candidate>,
-  from: readonly Candidate[],
+  candidates: readonly Candidate[],
   count: number,
   random: Random,
 ): void {
-  if (from.length <= count) {
-    for (const candidate of from) sample.add(candidate);
+  if (candidates.length <= count) {
+    for (const candidate of candidates) sample.add(candidate);
     return;
   }
   for (let taken = 0; taken < count; taken += 1) {
-    const candidate = from[random.below(from.length)];
+    const candidate = candidates[random.below(candidates.length)];
     if (candidate) sample.add(candidate);
   }
 }
 
 /**
- * Of the estimates close to the least, the replica that this entry sent to longest ago: what peers
- * do meanwhile is not known, and turns spread requests more evenly than chance.
+ * Picks the least recently used replica among those whose estimate is close to the best. This
+ * spreads requests more evenly than a random pick while the sends of peers are not yet known.
  */
-function pickAmongBest(estimates: readonly Estimate[]): Estimate | undefined {
-  const open = estimates.filter((estimate) => estimate.hasRoom);
-  const best = Math.min(...open.map((estimate) => estimate.firstTokenMs));
-  const bound = best + Math.max(TIE_MS, best * TIE_FRACTION);
-  let chosen: Estimate | undefined;
-  for (const estimate of open) {
-    if (estimate.firstTokenMs > bound) continue;
+function pickLeastRecentlyUsedOfBest(
+  estimates: readonly ReplicaEstimate[],
+): ReplicaEstimate | undefined {
+  const eligible = estimates.filter((estimate) => estimate.hasCapacity);
+  const minFirstTokenMs = Math.min(...eligible.map((estimate) => estimate.firstTokenMs));
+  const tieBoundMs =
+    minFirstTokenMs + Math.max(TIE_TOLERANCE_MS, minFirstTokenMs * TIE_TOLERANCE_FRACTION);
+  let chosen: ReplicaEstimate | undefined;
+  for (const estimate of eligible) {
+    if (estimate.firstTokenMs > tieBoundMs) continue;
     if (!chosen || estimate.lastSentAt < chosen.lastSentAt) chosen = estimate;
   }
   return chosen;
 }
 
-function leastWait(estimates: readonly Estimate[]): Milliseconds | undefined {
+function findMinWait(estimates: readonly ReplicaEstimate[]): Milliseconds | undefined {
   if (estimates.length === 0) return undefined;
   return Math.min(...estimates.map((estimate) => estimate.waitMs));
 }
--- a/src/controllers/routing/replica-stats.ts
+++ b/src/controllers/routing/replica-stats.ts
@@ -1,146 +1,147 @@
 /**
- * What this entry knows of a replica beyond its last report: its own sends since, and how far
- * first tokens came late.
+ * Statistics of replicas beyond their load reports: sends since the last report and the ratio of
+ * measured to estimated time to first token.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import {
-  FORGET_REPLICA_MS,
-  LEARNING_RATE,
-  LEAST_SLOWNESS,
-  MOST_SLOWNESS,
-  SLOW_FROM,
-  SLOWNESS_HALF_LIFE_MS,
+  REPLICA_STATS_TTL_MS,
+  SLOWDOWN_EWMA_WEIGHT,
+  MIN_SLOWDOWN,
+  MAX_SLOWDOWN,
+  SLOWDOWN_THRESHOLD,
+  SLOWDOWN_HALF_LIFE_MS,
 } from './constants.js';
-import { dropBelief } from './prefix-cache.js';
-import type { DispatchState, ReplicaTrack, SentRequest } from './state.js';
+import { clearReplicaCache } from './prefix-cache.js';
+import type { DispatchState, ReplicaStats, SentRequest } from './state.js';
 
-/** The track of `replica`, begun when there is none. */
-export function openTrack(state: DispatchState, replica: string, now: Milliseconds): ReplicaTrack {
-  const known = state.replicas.get(replica);
-  if (known) return known;
-  const track: ReplicaTrack = {
-    unreported: [],
+export function getOrCreateReplicaStats(
+  state: DispatchState,
+  replica: string,
+  now: Milliseconds,
+): ReplicaStats {
+  const existing = state.replicas.get(replica);
+  if (existing) return existing;
+  const stats: ReplicaStats = {
+    unreportedSends: [],
     unreportedOutputTokens: 0,
-    backlogMs: 0,
-    backlogAt: now,
+    prefillBacklogMs: 0,
+    backlogUpdatedAt: now,
     reportedAt: Number.NEGATIVE_INFINITY,
     lastSentAt: Number.NEGATIVE_INFINITY,
     outstanding: new Map(),
-    unanswered: new Map(),
-    slowness: 1,
-    measuredAt: now,
-    touchedAt: now,
+    awaitingFirstToken: new Map(),
+    slowdown: 1,
+    slowdownMeasuredAt: now,
+    lastActivityAt: now,
   };
-  state.replicas.set(replica, track);
-  return track;
+  state.replicas.set(replica, stats);
+  return stats;
 }
 
-/** Counts a request as sent. */
-export function trackSend(track: ReplicaTrack, sent: SentRequest): void {
-  track.unreported.push(sent);
-  track.backlogMs = backlogAt(track, sent.sentAt) + sent.prefillMs;
-  track.backlogAt = sent.sentAt;
-  track.lastSentAt = sent.sentAt;
-  track.unreportedOutputTokens += sent.outputTokens;
-  track.outstanding.set(sent.ticket, sent);
-  track.unanswered.set(sent.ticket, sent);
-  track.touchedAt = sent.sentAt;
+export function recordReplicaSend(stats: ReplicaStats, sent: SentRequest): void {
+  stats.unreportedSends.push(sent);
+  stats.prefillBacklogMs = remainingBacklogMs(stats, sent.sentAt) + sent.prefillMs;
+  stats.backlogUpdatedAt = sent.sentAt;
+  stats.lastSentAt = sent.sentAt;
+  stats.unreportedOutputTokens += sent.outputTokens;
+  stats.outstanding.set(sent.ticket, sent);
+  stats.awaitingFirstToken.set(sent.ticket, sent);
+  stats.lastActivityAt = sent.sentAt;
 }
 
-/** Counts a request as ended. */
-export function trackEnd(track: ReplicaTrack, sent: SentRequest, now: Milliseconds): void {
+export function recordReplicaEnd(stats: ReplicaStats, sent: SentRequest, now: Milliseconds): void {
   sent.endedAt = now;
-  track.outstanding.delete(sent.ticket);
-  track.unanswered.delete(sent.ticket);
-  track.touchedAt = now;
-  const index = track.unreported.indexOf(sent);
+  stats.outstanding.delete(sent.ticket);
+  stats.awaitingFirstToken.delete(sent.ticket);
+  stats.lastActivityAt = now;
+  const index = stats.unreportedSends.indexOf(sent);
   if (index < 0) return;
-  track.unreported.splice(index, 1);
-  track.unreportedOutputTokens -= sent.outputTokens;
+  stats.unreportedSends.splice(index, 1);
+  stats.unreportedOutputTokens -= sent.outputTokens;
 }
 
-/** The prefill work left at `now`: an engine works it off as time passes. */
-export function backlogAt(track: ReplicaTrack, now: Milliseconds): Milliseconds {
-  return Math.max(0, track.backlogMs - Math.max(0, now - track.backlogAt));
+/** Remaining prefill time at `now`, assuming that the engine prefills continuously. */
+export function remainingBacklogMs(stats: ReplicaStats, now: Milliseconds): Milliseconds {
+  return Math.max(0, stats.prefillBacklogMs - Math.max(0, now - stats.backlogUpdatedAt));
 }
 
 /**
- * Takes in a report measured at `reportedAt`: forgets the sends that it shows by itself and reckons
- * the prefill work on from it, send by send, so that work that came late is not taken as worked off
- * before it came.
+ * Applies a load report measured at `reportedAt`. Drops the sends that it includes and replays the
+ * later ones on top of the reported backlog, so that no work is deducted for the time before a
+ * request was sent.
  */
-export function settleReport(
-  track: ReplicaTrack,
+export function applyLoadReport(
+  stats: ReplicaStats,
   reportedAt: Milliseconds,
   reportedBacklogMs: Milliseconds,
 ): void {
-  if (track.reportedAt === reportedAt) return;
-  track.reportedAt = reportedAt;
-  dropReported(track, reportedAt);
-  track.backlogMs = reportedBacklogMs;
-  track.backlogAt = reportedAt;
-  for (const sent of track.unreported) {
-    track.backlogMs = backlogAt(track, sent.sentAt) + sent.prefillMs;
-    track.backlogAt = Math.max(track.backlogAt, sent.sentAt);
+  if (stats.reportedAt === reportedAt) return;
+  stats.reportedAt = reportedAt;
+  dropReportedSends(stats, reportedAt);
+  stats.prefillBacklogMs = reportedBacklogMs;
+  stats.backlogUpdatedAt = reportedAt;
+  for (const sent of stats.unreportedSends) {
+    stats.prefillBacklogMs = remainingBacklogMs(stats, sent.sentAt) + sent.prefillMs;
+    stats.backlogUpdatedAt = Math.max(stats.backlogUpdatedAt, sent.sentAt);
   }
 }
 
-function dropReported(track: ReplicaTrack, reportedAt: Milliseconds): void {
-  let settled = 0;
-  for (const sent of track.unreported) {
+function dropReportedSends(stats: ReplicaStats, reportedAt: Milliseconds): void {
+  let reportedCount = 0;
+  for (const sent of stats.unreportedSends) {
     if (sent.sentAt > reportedAt) break;
-    track.unreportedOutputTokens -= sent.outputTokens;
-    settled += 1;
+    stats.unreportedOutputTokens -= sent.outputTokens;
+    reportedCount += 1;
   }
-  if (settled > 0) track.unreported.splice(0, settled);
+  if (reportedCount > 0) stats.unreportedSends.splice(0, reportedCount);
 }
 
-/** Learns from one measured first-token time. */
-export function learnSlowness(
-  track: ReplicaTrack,
+/** Updates the slowdown from a measured time to first token. */
+export function updateSlowdown(
+  stats: ReplicaStats,
   measuredMs: Milliseconds,
   estimatedMs: Milliseconds,
   now: Milliseconds,
 ): void {
-  const known = fadedSlowness(track, now);
-  const ratio = Math.min(MOST_SLOWNESS, Math.max(LEAST_SLOWNESS, measuredMs / estimatedMs));
-  track.slowness = known + LEARNING_RATE * (ratio - known);
-  track.measuredAt = now;
+  const previous = decayedSlowdown(stats, now);
+  const ratio = Math.min(MAX_SLOWDOWN, Math.max(MIN_SLOWDOWN, measuredMs / estimatedMs));
+  stats.slowdown = previous + SLOWDOWN_EWMA_WEIGHT * (ratio - previous);
+  stats.slowdownMeasuredAt = now;
 }
 
 /**
- * The learned ratio, fading towards 1. Guards against avoiding a replica for ever: one that nobody
- * sends to gives no measurement that could clear it, so its ratio has to fade by itself.
+ * Returns the slowdown, decayed towards 1. Without decay, a replica that was slow once would never
+ * be selected and therefore never measured again.
  */
-export function currentSlowness(track: ReplicaTrack, now: Milliseconds): number {
-  const faded = fadedSlowness(track, now);
-  return faded < SLOW_FROM ? 1 : faded;
+export function currentSlowdown(stats: ReplicaStats, now: Milliseconds): number {
+  const slowdown = decayedSlowdown(stats, now);
+  return slowdown < SLOWDOWN_THRESHOLD ? 1 : slowdown;
 }
 
-function fadedSlowness(track: ReplicaTrack, now: Milliseconds): number {
-  const age = Math.max(0, now - track.measuredAt);
-  return 1 + (track.slowness - 1) * 0.5 ** (age / SLOWNESS_HALF_LIFE_MS);
+function decayedSlowdown(stats: ReplicaStats, now: Milliseconds): number {
+  const ageMs = Math.max(0, now - stats.slowdownMeasuredAt);
+  return 1 + (stats.slowdown - 1) * 0.5 ** (ageMs / SLOWDOWN_HALF_LIFE_MS);
 }
 
 /**
- * How far the oldest request that waits for its first token is past its estimate. Guards against
- * sending on to a paused engine: it reports no load and ends no request, and this grows with time.
+ * Returns how long the first token of the oldest request is overdue. Keeps requests away from a
+ * paused engine, whose last load report may show it as idle.
  */
-export function overdueMs(track: ReplicaTrack, now: Milliseconds): Milliseconds {
-  for (const sent of track.unanswered.values()) {
+export function firstTokenOverdueMs(stats: ReplicaStats, now: Milliseconds): Milliseconds {
+  for (const sent of stats.awaitingFirstToken.values()) {
     return Math.max(0, now - sent.sentAt - sent.estimatedFirstTokenMs);
   }
   return 0;
 }
 
-/** Forgets replicas that have not been sent to for long; at most once each such span. */
-export function forgetReplicas(state: DispatchState, now: Milliseconds): void {
-  if (now - state.forgottenAt < FORGET_REPLICA_MS) return;
-  state.forgottenAt = now;
-  for (const [replica, track] of state.replicas) {
-    if (track.outstanding.size > 0 || now - track.touchedAt < FORGET_REPLICA_MS) continue;
+/** Drops the statistics of inactive replicas. Runs at most once per TTL. */
+export function pruneReplicaStats(state: DispatchState, now: Milliseconds): void {
+  if (now - state.lastPrunedAt < REPLICA_STATS_TTL_MS) return;
+  state.lastPrunedAt = now;
+  for (const [replica, stats] of state.replicas) {
+    if (stats.outstanding.size > 0 || now - stats.lastActivityAt < REPLICA_STATS_TTL_MS) continue;
     state.replicas.delete(replica);
-    dropBelief(state, replica);
-    state.beliefs.delete(replica);
+    clearReplicaCache(state, replica);
+    state.replicaCaches.delete(replica);
   }
 }
--- a/src/controllers/routing/sent-requests.ts
+++ b/src/controllers/routing/sent-requests.ts
@@ -1,31 +1,31 @@
 /**
- * What the dispatcher learns of requests that it sent.
+ * Updates the state of the dispatcher on events of sent requests.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
-import { dropBelief } from './prefix-cache.js';
+import { clearReplicaCache } from './prefix-cache.js';
 import type { DispatchState, SentRequest } from './state.js';
-import { learnSlowness, trackEnd } from './replica-stats.js';
+import { updateSlowdown, recordReplicaEnd } from './replica-stats.js';
 import type { SentOutcome } from './types.js';
-import { recordAnswer } from './wait-estimates.js';
+import { recordGenerationTime } from './wait-estimates.js';
 
 /**
- * The first token of a sent request arrived.
+ * Records that the first token of a sent request arrived.
  *
  * @example reportFirstToken(state, ticket, clock.now());
  */
 export function reportFirstToken(state: DispatchState, ticket: string, now: Milliseconds): void {
   const sent = state.sent.get(ticket);
-  const track = sent && state.replicas.get(sent.replica);
-  if (!track || sent.firstTokenAt !== undefined) return;
+  const stats = sent && state.replicas.get(sent.replica);
+  if (!stats || sent.firstTokenAt !== undefined) return;
   sent.firstTokenAt = now;
-  countAnswered(state, sent);
-  track.unanswered.delete(ticket);
-  learnSlowness(track, now - sent.sentAt, sent.plainFirstTokenMs, now);
+  decrementAwaitingFirstToken(state, sent);
+  stats.awaitingFirstToken.delete(ticket);
+  updateSlowdown(stats, now - sent.sentAt, sent.unadjustedFirstTokenMs, now);
 }
 
 /**
- * A sent request has ended. Frees what it was counted for; a replica that could not be reached or
- * lost the request also loses the belief in its cache.
+ * Records that a sent request ended. If the replica could not be reached or lost the request, its
+ * cache is assumed to be lost as well.
  *
  * @example reportEnd(state, ticket, { kind: 'completed', outputTokens: 80 }, clock.now());
  */
@@ -38,17 +38,17 @@
   const sent = state.sent.get(ticket);
   if (!sent) return;
   state.sent.delete(ticket);
-  if (sent.firstTokenAt === undefined) countAnswered(state, sent);
+  if (sent.firstTokenAt === undefined) decrementAwaitingFirstToken(state, sent);
   const workspace = state.workspaces.get(sent.workspace);
   if (workspace) workspace.inFlight -= 1;
-  const track = state.replicas.get(sent.replica);
-  if (track) trackEnd(track, sent, now);
+  const stats = state.replicas.get(sent.replica);
+  if (stats) recordReplicaEnd(stats, sent, now);
   const queue = state.queues.get(sent.model);
-  if (queue && outcome.kind === 'completed') recordAnswer(queue, sent, now);
-  if (outcome.kind === 'notSent' || outcome.kind === 'lost') dropBelief(state, sent.replica);
+  if (queue && outcome.kind === 'completed') recordGenerationTime(queue, sent, now);
+  if (outcome.kind === 'notSent' || outcome.kind === 'lost') clearReplicaCache(state, sent.replica);
 }
 
-function countAnswered(state: DispatchState, sent: SentRequest): void {
+function decrementAwaitingFirstToken(state: DispatchState, sent: SentRequest): void {
   const workspace = state.workspaces.get(sent.workspace);
-  if (workspace) workspace.unanswered -= 1;
+  if (workspace) workspace.awaitingFirstToken -= 1;
 }
--- a/src/controllers/routing/state.ts
+++ b/src/controllers/routing/state.ts
@@ -1,161 +1,162 @@
 /**
- * What the dispatcher remembers between events: a plain object, changed in place and owned by one
- * shell.
+ * State of a dispatcher between calls: a plain object with a single owner, mutated in place.
  */
 import type { SentCount } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { RequestClass } from '../../objects/index.js';
 import type { Candidate, WaitingRequest } from './types.js';
 
-/** The requests of one workspace that wait for one model in one class, first come first. */
-export interface Lane {
+/** Queued requests of one workspace for one model and class, ordered by arrival. */
+export interface WorkspaceQueue {
   workspace: string;
   weight: number;
   requests: WaitingRequest[];
-  /** Weighted tokens served so far; the lane with the least is served next. */
-  served: number;
+  /** Served tokens divided by the weight; the queue with the lowest value is served next. */
+  virtualTime: number;
 }
 
-/** The lanes of one class. */
+/** The workspace queues of one class. */
 export interface ClassQueue {
   class: RequestClass;
-  lanes: Map<string, Lane>;
-  /** `served` of the lane served last: where a lane starts that was empty. */
-  served: number;
-  /** `served` of lanes that went empty ahead of the others, so that coming back clears nothing. */
-  left: Map<string, number>;
-  /** Tokens of higher classes served while this class had requests waiting. */
-  passedOver: number;
+  workspaceQueues: Map<string, WorkspaceQueue>;
+  /** Highest virtual time at which a request was served; new workspace queues start here. */
+  virtualTime: number;
+  /** Virtual times of emptied queues that were ahead, restored when the workspace returns. */
+  carriedVirtualTimes: Map<string, number>;
+  /** Tokens served from higher classes while this class had queued requests. */
+  bypassedCost: number;
 }
 
-/** Everything that waits for one model. */
+/** All queued requests for one model. */
 export interface ModelQueue {
   model: string;
   classes: ClassQueue[];
   length: number;
-  /** When the model was first seen without any replica; absent while it has one. */
-  emptySince?: Milliseconds;
-  /** Mean span between two sends while requests waited; absent until two such sends. */
+  /** Since when the model has had no replica; absent while it has one. */
+  noReplicaSince?: Milliseconds;
+  /** Mean interval between sends while the queue is not empty; absent until two such sends. */
   sendIntervalMs?: Milliseconds;
-  /** Mean span between two places coming free, by the replicas' reports at the last choice. */
-  slotMs: Milliseconds;
-  /** The least wait at a replica as the last choice found it. */
-  engineWaitMs: Milliseconds;
-  /** Mean span from first token to end, for each token that was asked for at most. */
-  answerMsPerToken?: Milliseconds;
-  /** Tickets whose wait has not been estimated yet. */
-  unjudged: string[];
-  /** The last send after which requests still waited. */
-  lastBusySendAt?: Milliseconds;
+  /** Mean interval at which batch slots become free, estimated in the last choice of a replica. */
+  slotIntervalMs: Milliseconds;
+  /** Shortest wait at any replica sampled in the last choice. */
+  minEngineWaitMs: Milliseconds;
+  /** Mean time from first token to completion, per token of the requested maximum. */
+  generationMsPerToken?: Milliseconds;
+  /** Tickets of new requests whose deadline has not been checked against the estimated wait. */
+  uncheckedTickets: string[];
+  /** Last send, if requests remained queued after it. */
+  lastBackloggedSendAt?: Milliseconds;
 }
 
-/** A request that was sent and has not ended. */
+/** A request in flight. */
 export interface SentRequest {
   ticket: string;
   workspace: string;
   model: string;
   replica: string;
   sentAt: Milliseconds;
-  /** Prompt tokens that the engine was believed not to have cached. */
-  promptTokens: number;
-  /** The time that their prefill takes. */
+  /** Prompt tokens assumed not to be cached at the engine. */
+  uncachedPromptTokens: number;
+  /** Estimated prefill time of the uncached tokens. */
   prefillMs: Milliseconds;
   outputTokens: number;
   estimatedFirstTokenMs: Milliseconds;
-  /** The estimate before the learned ratio was applied. */
-  plainFirstTokenMs: Milliseconds;
+  /** The estimate without the replica's slowdown. */
+  unadjustedFirstTokenMs: Milliseconds;
   firstTokenAt?: Milliseconds;
   endedAt?: Milliseconds;
 }
 
-/** What this entry knows of one replica beyond its reports. */
-export interface ReplicaTrack {
-  /** Own sends that the last report can't show yet, oldest first. */
-  unreported: SentRequest[];
+/** Statistics of one replica that this entry keeps in addition to the load reports. */
+export interface ReplicaStats {
+  /** Sends that the last load report does not include yet, oldest first. */
+  unreportedSends: SentRequest[];
   unreportedOutputTokens: number;
-  /** Prefill work left at `backlogAt`, reckoned on from the report measured at `reportedAt`. */
-  backlogMs: Milliseconds;
-  backlogAt: Milliseconds;
+  /** Remaining prefill time at `backlogUpdatedAt`, based on the report measured at `reportedAt`. */
+  prefillBacklogMs: Milliseconds;
+  backlogUpdatedAt: Milliseconds;
   reportedAt: Milliseconds;
   lastSentAt: Milliseconds;
-  /** Own requests in flight, oldest first. */
+  /** Requests of this entry in flight, oldest first. */
   outstanding: Map<string, SentRequest>;
-  /** Own requests that wait for their first token, oldest first. */
-  unanswered: Map<string, SentRequest>;
-  /** Measured over estimated first-token time, and when it was last measured. */
-  slowness: number;
-  measuredAt: Milliseconds;
-  touchedAt: Milliseconds;
+  /** Requests of this entry that await their first token, oldest first. */
+  awaitingFirstToken: Map<string, SentRequest>;
+  /** Ratio of measured to estimated time to first token, as of `slowdownMeasuredAt`. */
+  slowdown: number;
+  slowdownMeasuredAt: Milliseconds;
+  lastActivityAt: Milliseconds;
 }
 
-/** Which prefixes one replica is believed to have cached, least recently used first. */
-export interface CacheBelief {
+/** Prefixes that one replica has probably cached. */
+export interface ReplicaCache {
   incarnation?: string;
-  /** The last cache event taken in. */
-  sequence?: number;
+  /** Sequence number of the last cache event that was applied. */
+  lastSequence?: number;
+  /** Token counts by prefix hash, least recently used first. */
   prefixes: Map<string, number>;
 }
 
-/** The candidates of one array by their distance; built once for each array. */
+/** Candidates grouped by distance. Valid for one `source` array. */
 export interface CandidateIndex {
   source: readonly Candidate[];
-  local: Candidate[];
-  region: Candidate[];
-  remote: Candidate[];
+  sameDomain: Candidate[];
+  sameRegion: Candidate[];
+  otherRegions: Candidate[];
   byReplica: Map<string, Candidate>;
-  /** Replicas of the own region by the hash of their name, for the homes of prefixes. */
-  ring: RingPlace[];
+  /** Replicas in the region of the entry, sorted by hash. */
+  hashRing: RingNode[];
 }
 
-/** A replica's place on the ring of hashes. */
-export interface RingPlace {
+/** A replica on the consistent-hash ring. */
+export interface RingNode {
   hash: number;
   candidate: Candidate;
 }
 
-/** What one workspace has sent and when it last asked for anything. */
-export interface WorkspaceTrack {
+/** Recent load of one workspace on this entry. */
+export interface WorkspaceStats {
   weight: number;
   inFlight: number;
-  /** Of those in flight, the ones that wait for their first token. */
-  unanswered: number;
-  /** When it last asked for anything. */
-  activeAt: Milliseconds;
-  /** Requests that arrived of late as they counted then, older ones less. */
-  arrivals: number;
+  /** Requests in flight that await their first token. */
+  awaitingFirstToken: number;
+  lastArrivalAt: Milliseconds;
+  /** Exponentially decayed number of arrivals, as of `lastArrivalAt`. */
+  decayedArrivals: number;
 }
 
-/** Recent failures of one instance of a plain service. */
-export interface InstanceTrack {
-  failures: number;
-  avoidUntil: Milliseconds;
+/** Failures of one service instance since its last success. */
+export interface InstanceFailures {
+  consecutiveFailures: number;
+  ejectedUntil: Milliseconds;
 }
 
-/** The dispatcher's memory. */
+/** State of one dispatcher. */
 export interface DispatchState {
   queues: Map<string, ModelQueue>;
-  /** Waiting requests by ticket. */
+  /** Queued requests by ticket. */
   waiting: Map<string, WaitingRequest>;
-  /** Waiting requests of each workspace, over all models and classes. */
-  waitingOf: Map<string, number>;
-  workspaces: Map<string, WorkspaceTrack>;
+  /** Number of queued requests per workspace, over all models and classes. */
+  waitingByWorkspace: Map<string, number>;
+  workspaces: Map<string, WorkspaceStats>;
+  /** Requests in flight by ticket. */
   sent: Map<string, SentRequest>;
-  replicas: Map<string, ReplicaTrack>;
-  beliefs: Map<string, CacheBelief>;
-  /** Replicas believed to hold a prefix, by its hash. */
-  holders: Map<string, Set<string>>;
-  candidates: Map<string, CandidateIndex>;
-  peers: { source: readonly SentCount[]; byReplica: Map<string, SentCount> };
-  /** Mean part of prompt tokens that own sends were estimated to need prefilled. */
-  uncachedPart: number;
-  /** No waiting request's deadline is earlier. */
+  replicas: Map<string, ReplicaStats>;
+  replicaCaches: Map<string, ReplicaCache>;
+  /** Replicas that have probably cached a prefix, by its hash. */
+  replicasByPrefix: Map<string, Set<string>>;
+  /** By model. */
+  candidateIndexes: Map<string, CandidateIndex>;
+  peerSends: { source: readonly SentCount[]; byReplica: Map<string, SentCount> };
+  /** Mean fraction of prompt tokens assumed not to be cached, over the sends of this entry. */
+  uncachedFraction: number;
+  /** Lower bound of the deadlines of all queued requests. */
   nextDeadlineAt: Milliseconds;
-  instances: Map<string, InstanceTrack>;
-  forgottenAt: Milliseconds;
+  instanceFailures: Map<string, InstanceFailures>;
+  lastPrunedAt: Milliseconds;
 }
 
 /**
- * The memory of a dispatcher that has seen nothing yet.
+ * Creates the initial state of a dispatcher.
  *
  * @example const state = createDispatchState();
  */
@@ -163,17 +164,17 @@
   return {
     queues: new Map(),
     waiting: new Map(),
-    waitingOf: new Map(),
+    waitingByWorkspace: new Map(),
     workspaces: new Map(),
     sent: new Map(),
     replicas: new Map(),
-    beliefs: new Map(),
-    holders: new Map(),
-    candidates: new Map(),
-    peers: { source: [], byReplica: new Map() },
-    uncachedPart: 1,
+    replicaCaches: new Map(),
+    replicasByPrefix: new Map(),
+    candidateIndexes: new Map(),
+    peerSends: { source: [], byReplica: new Map() },
+    uncachedFraction: 1,
     nextDeadlineAt: Number.POSITIVE_INFINITY,
-    instances: new Map(),
-    forgottenAt: 0,
+    instanceFailures: new Map(),
+    lastPrunedAt: 0,
   };
 }
--- a/src/controllers/routing/types.ts
+++ b/src/controllers/routing/types.ts
@@ -1,107 +1,108 @@
 /**
- * The messages of the dispatch decision: which waiting request goes to which replica, and when.
+ * Inputs and outputs of the dispatcher, which decides when a queued request is sent and to which
+ * replica. An entry is a process that accepts requests from callers and runs one dispatcher.
  *
- * The shell reports events (`offerRequest`, `reportEnd`, …) and then calls `dispatch`, which
- * returns the actions to perform. Nothing here waits: a request that can't be sent yet stays in
- * its workspace's queue, and `dispatch` says when to be called again at the latest.
+ * The caller reports events (`offerRequest`, `reportEnd`, …) and then calls `dispatch`, which
+ * returns the actions to perform. The dispatcher does no I/O and sets no timers: requests that
+ * can't be sent yet stay queued, and the result says when to call `dispatch` again.
  */
 import type { ReplicaLoad, SentCount } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Failure } from '../../core/errors/index.js';
 import type { RequestClass } from '../../objects/index.js';
 
-/** Where an entry or a replica stands. */
+/** Location of an entry, a replica or an instance. */
 export interface Location {
   region: string;
   failureDomain: string;
 }
 
-/** A replica that may be sent requests now; `listEligibleReplicas` in `health` makes the list. */
+/** A replica that is currently eligible for requests; see `listEligibleReplicas` in `health`. */
 export interface Candidate {
   replica: string;
   model: string;
   fence: number;
-  /** The instance of rank 0 and its address. */
+  /** The instance with rank 0, which receives the requests. */
   leader: string;
   address: string;
   members: readonly string[];
   location: Location;
-  /** Absent until a first report. */
+  /** Undefined until the first load report. */
   load: ReplicaLoad | undefined;
 }
 
-/** The start of a prompt that may be in an engine's prefix cache; longer ones come later. */
+/** A prompt prefix that an engine may have cached. Lists of prefixes are sorted by length, ascending. */
 export interface Prefix {
   hash: string;
   tokens: number;
 }
 
-/** A request that waits to be sent. */
+/** A queued request. */
 export interface WaitingRequest {
-  /** Unique in this entry; names the request in actions. */
+  /** Unique within the entry; identifies the request in actions. */
   ticket: string;
   workspace: string;
   class: RequestClass;
   model: string;
-  /** Estimated. */
+  /** Estimated from the length of the prompt. */
   promptTokens: number;
   maxTokens: number;
   prefixes: readonly Prefix[];
   arrivedAt: Milliseconds;
   deadlineAt: Milliseconds;
-  /** Replicas that it must not go to (again). */
+  /** Replicas that must not receive the request, such as those where an earlier attempt failed. */
   excluded: readonly string[];
-  /** An earlier attempt may have run: a refusal then never says that the request was not run. */
+  /** Whether an earlier attempt may have run. If so, a refusal must not state that none did. */
   mayHaveRun?: boolean;
 }
 
-/** What the shell has to do. */
+/** An action that the caller of `dispatch` performs. */
 export type DispatchAction =
   | {
       kind: 'send';
       ticket: string;
       candidate: Candidate;
       estimatedFirstTokenMs: Milliseconds;
-      /** Its workspace crowds out others: give it a lower priority at the engine. */
+      /** Whether the workspace is a noisy neighbor; the engine priority is then lowered. */
       isCrowding: boolean;
     }
-  /** Final, to be answered at once. */
+  /** Final: the request leaves the queue and the failure is returned to its caller. */
   | { kind: 'refuse'; ticket: string; failure: Failure };
 
-/** What a call of `dispatch` decided. */
-export interface Dispatch {
+/** Result of a `dispatch` call. */
+export interface DispatchResult {
   actions: readonly DispatchAction[];
-  /** Call again then, if no event came before; absent when nothing waits. */
+  /** When to call `dispatch` again if no event arrives earlier; absent when the queues are empty. */
   wakeAt?: Milliseconds;
 }
 
-/** What a decision may look at; nothing here is kept by the dispatcher. */
+/** External data that a `dispatch` call reads. */
 export interface DispatchView {
-  /** Where this entry stands. */
+  /** Location of this entry. */
   here: Location;
   /**
-   * The replicas of a model that may be sent requests now. Return the same array until it changes:
-   * it is indexed once for each array.
+   * The eligible replicas of a model. Must return the same array while nothing changes, since the
+   * index of candidates is cached by array identity.
    */
   candidatesOf(model: string): readonly Candidate[];
-  /** What peers sent lately, from their digests; the same array until it changes. */
+  /** Recent sends of peers, from their digests. Cached by array identity like the candidates. */
   peersSent: readonly SentCount[];
-  /** The span that `peersSent` covers. */
+  /** The period that `peersSent` covers. */
   peersPeriodMs?: Milliseconds;
-  /** Entries that send to the same replicas, this one included; 1 when absent. */
+  /** Number of entries that share the replicas, including this one. Default: 1. */
   entries?: number;
 }
 
-/** How a sent request ended, as far as the dispatcher learns from it. */
+/** Outcome of a sent request. */
 export interface SentOutcome {
   kind: 'completed' | 'cancelled' | 'refused' | 'notSent' | 'lost' | 'failed';
-  /** Output tokens that were generated, as far as they are known. */
+  /** Generated output tokens, if known. */
   outputTokens?: number;
-  /** Prompt tokens that the engine found in its cache. */
+  /** Prompt tokens served from the prefix cache of the engine. */
   cachedTokens?: number;
 }
 
-/** A plain service's instance that may be sent calls now. */
+/** An instance of a service without replicas that is currently eligible for calls. */
 export interface InstanceCandidate {
   instance: string;
   address: string;
--- a/src/controllers/routing/wait-estimates.ts
+++ b/src/controllers/routing/wait-estimates.ts
@@ -1,59 +1,79 @@
 /**
- * How long requests will wait in this entry's queues, from the pace at which they leave.
+ * Estimates of queueing and generation times, based on the measured rates of this entry.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
-import { ANSWER_RATE, LEAST_RETRY_MS, MOST_RETRY_MS, SEND_RATE } from './constants.js';
+import {
+  GENERATION_TIME_EWMA_WEIGHT,
+  MIN_RETRY_AFTER_MS,
+  MAX_RETRY_AFTER_MS,
+  SEND_INTERVAL_EWMA_WEIGHT,
+} from './constants.js';
 import { CLASS_ORDER } from './constants.js';
 import type { ModelQueue, SentRequest } from './state.js';
 import type { WaitingRequest } from './types.js';
 
-/** Measures the pace of sends; only spans in which requests waited say how fast room comes. */
-export function recordSend(queue: ModelQueue, now: Milliseconds): void {
-  const before = queue.lastBusySendAt;
-  if (before !== undefined) {
-    const span = now - before;
-    const known = queue.sendIntervalMs;
-    queue.sendIntervalMs = known === undefined ? span : known + SEND_RATE * (span - known);
+/**
+ * Updates the mean interval between sends. Only intervals with queued requests are measured, since
+ * the others depend on arrivals and not on capacity.
+ */
+export function recordSendInterval(queue: ModelQueue, now: Milliseconds): void {
+  const previousSendAt = queue.lastBackloggedSendAt;
+  if (previousSendAt !== undefined) {
+    const intervalMs = now - previousSendAt;
+    const previous = queue.sendIntervalMs;
+    queue.sendIntervalMs =
+      previous === undefined
+        ? intervalMs
+        : previous + SEND_INTERVAL_EWMA_WEIGHT * (intervalMs - previous);
   }
-  if (queue.length > 0) queue.lastBusySendAt = now;
-  else delete queue.lastBusySendAt;
+  if (queue.length > 0) queue.lastBackloggedSendAt = now;
+  else delete queue.lastBackloggedSendAt;
 }
 
-/** Learns how long whole answers take, from one that ended at `now`. */
-export function recordAnswer(queue: ModelQueue, sent: SentRequest, now: Milliseconds): void {
+/** Updates the mean generation time per token from a request that completed at `now`. */
+export function recordGenerationTime(
+  queue: ModelQueue,
+  sent: SentRequest,
+  now: Milliseconds,
+): void {
   if (sent.firstTokenAt === undefined) return;
-  const span = (now - sent.firstTokenAt) / Math.max(1, sent.outputTokens);
-  const known = queue.answerMsPerToken ?? span;
-  queue.answerMsPerToken = known + ANSWER_RATE * (span - known);
+  const msPerToken = (now - sent.firstTokenAt) / Math.max(1, sent.outputTokens);
+  const previous = queue.generationMsPerToken ?? msPerToken;
+  queue.generationMsPerToken = previous + GENERATION_TIME_EWMA_WEIGHT * (msPerToken - previous);
 }
 
 /**
- * How long the answer to `request` takes from its first token; 0 until one has been seen. Guards against requests that get their first token in time and are cut
- * off at their deadline: in an overload that wastes what others could have been served with.
+ * Estimates the time from the first token of `request` to its completion; 0 before the first
+ * measurement. Counted against the deadline, so that under overload no capacity is spent on
+ * requests that would be cut off at their deadline.
  */
-export function estimateAnswer(queue: ModelQueue, request: WaitingRequest): Milliseconds {
-  return (queue.answerMsPerToken ?? 0) * request.maxTokens;
+export function estimateGenerationMs(queue: ModelQueue, request: WaitingRequest): Milliseconds {
+  return (queue.generationMsPerToken ?? 0) * request.maxTokens;
 }
 
-/** Requests that will be served before `request`: its own lane's share of all that wait. */
-export function countAhead(queue: ModelQueue, request: WaitingRequest): number {
-  const rank = CLASS_ORDER.indexOf(request.class);
+/**
+ * Counts the queued requests that are served before `request`: all of higher classes and, by the
+ * weights of the workspaces, those of its own class.
+ */
+export function countRequestsAhead(queue: ModelQueue, request: WaitingRequest): number {
+  const classIndex = CLASS_ORDER.indexOf(request.class);
   let ahead = 0;
-  for (const classQueue of queue.classes.slice(0, rank)) {
-    for (const lane of classQueue.lanes.values()) ahead += lane.requests.length;
+  for (const classQueue of queue.classes.slice(0, classIndex)) {
+    for (const workspaceQueue of classQueue.workspaceQueues.values())
+      ahead += workspaceQueue.requests.length;
   }
-  const own = queue.classes[rank]?.lanes.get(request.workspace);
-  if (!own) return ahead;
-  const position = own.requests.indexOf(request);
-  const turns = (position < 0 ? own.requests.length : position) / own.weight;
-  for (const lane of queue.classes[rank]?.lanes.values() ?? []) {
-    ahead += Math.min(lane.requests.length, Math.ceil(turns * lane.weight));
+  const ownQueue = queue.classes[classIndex]?.workspaceQueues.get(request.workspace);
+  if (!ownQueue) return ahead;
+  const position = ownQueue.requests.indexOf(request);
+  const rounds = (position < 0 ? ownQueue.requests.length : position) / ownQueue.weight;
+  for (const workspaceQueue of queue.classes[classIndex]?.workspaceQueues.values() ?? []) {
+    ahead += Math.min(workspaceQueue.requests.length, Math.ceil(rounds * workspaceQueue.weight));
   }
   return ahead;
 }
 
-/** When room for `count` more requests can be expected, as a `Retry-After`. */
-export function estimateRetryAfter(queue: ModelQueue, count: number): Milliseconds {
-  const wait = Math.ceil((queue.sendIntervalMs ?? 0) * count);
-  return Math.min(MOST_RETRY_MS, Math.max(LEAST_RETRY_MS, wait));
+/** Estimates when `count` more requests can be sent, within the bounds of `Retry-After`. */
+export function estimateRetryAfterMs(queue: ModelQueue, count: number): Milliseconds {
+  const waitMs = Math.ceil((queue.sendIntervalMs ?? 0) * count);
+  return Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, waitMs));
 }
