--- a/src/controllers/waiting/index.ts
+++ b/src/controllers/waiting/index.ts
@@ -1,3 +1,3 @@
 export * from './first-event-times.js';
-export * from './line.js';
-export * from './room.js';
+export * from './queue-order.js';
+export * from './capacity.js';
