--- a/src/controllers/waiting/capacity.ts
+++ b/src/controllers/waiting/capacity.ts
@@ -1,21 +1,19 @@
 /**
- * When a target has room for one request more.
+ * Decides whether a target has capacity for another request.
  *
- * Guards against queues at backend servers while more comes than all of them can serve, as after the
- * loss of replicas or when all gateways have started anew: a server serves in the order of arrival, so
- * that each request waits its whole queue and every answer is late, those too whose callers have left
- * meanwhile. What has no room waits at the gateway, which knows who can still be answered in time.
+ * Under overload, requests queue at the gateway instead of at the backend servers. A backend server
+ * serves requests in order of arrival, including those whose callers have left, while the gateway
+ * can prefer requests that can still be answered in time.
  */
 import type { TargetState } from '../forwarding/choose.js';
 
 /**
- * Requests beyond the places, as a part of them. One that waits there takes a place as soon as it is
- * free, which bridges the way from here; with 18 places that end in about a second it waits some
- * 50 ms, well within what is left of an aim of 300 ms.
+ * Requests that may queue at a target, as a fraction of its slots. They take a free slot immediately,
+ * which hides the network latency between the gateway and the target.
  */
-const SPARE_PART = 0.1;
+const MAX_QUEUED_SLOT_FRACTION = 0.1;
 
-/** Whether `state` can begin one request more nearly at once. */
+/** Whether a target can start another request with little or no delay. */
 export function hasRoom({ inFlight, slots }: Pick<TargetState, 'inFlight' | 'slots'>): boolean {
-  return inFlight < slots + Math.ceil(slots * SPARE_PART);
+  return inFlight < slots + Math.ceil(slots * MAX_QUEUED_SLOT_FRACTION);
 }
--- a/src/controllers/waiting/first-event-times.ts
+++ b/src/controllers/waiting/first-event-times.ts
@@ -1,21 +1,21 @@
 /**
- * How long models take from the sending of a request to its first event, as observed lately.
+ * Mean times from the sending of a request to its first event, per model.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 
-/** Weight of the newest; about the last ten count, a fraction of a second under load. */
-const NEWEST = 0.1;
+/** Weight of the latest observation in the exponentially weighted mean. */
+const EWMA_WEIGHT = 0.1;
 
-/** Means by model of a service. Changed in place, owned by one shell. */
+/** Mean times to the first event by key, which identifies a model of a service. Mutable. */
 export class FirstEventTimes {
   private readonly means = new Map<string, Milliseconds>();
 
   record(key: string, tookMs: Milliseconds): void {
     const mean = this.means.get(key);
-    this.means.set(key, mean === undefined ? tookMs : mean + NEWEST * (tookMs - mean));
+    this.means.set(key, mean === undefined ? tookMs : mean + EWMA_WEIGHT * (tookMs - mean));
   }
 
-  /** The mean; half of the aim while nothing was observed. */
+  /** Returns the mean, or half of the target time before the first observation. */
   expect(key: string, targetMs: Milliseconds): Milliseconds {
     return this.means.get(key) ?? targetMs / 2;
   }
--- a/src/controllers/waiting/queue-order.ts
+++ b/src/controllers/waiting/queue-order.ts
@@ -1,43 +1,42 @@
 /**
- * Who goes first of the requests that wait for a target with room, and who waits in vain.
+ * Orders the requests that are queued until a target has capacity, and finds those to refuse.
  *
- * Pattern: more comes for seconds than can be served. First come, first served then makes everybody
- * late: where 60 come and 30 can be served a second, with 150 ms to spare, fewer than 10 in 100 of those
- * that are served in ten seconds are in time. Newest first among those that can still be in time it is
- * more than 80 in 100, and the others are answered late when the load falls, or told at once when to
- * come back.
+ * Under overload, first-in, first-out would delay every request past its target time. Last-in,
+ * first-out among the requests that can still be on time lets most of them start on time; the others
+ * are served when the load falls, or refused early.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 
-/** One that waits, with what decides its turn. */
+/** A queued request with the properties that determine its position. */
 export interface WaitingRequest {
-  /** Lower goes first. */
+  /** Requests with a lower rank are served first. */
   rank: number;
+  /** Time of arrival. */
   since: Milliseconds;
-  /** Sent until then, its answer still begins in time. */
+  /** Latest time to send the request for its answer to start within the target time. */
   onTimeUntil: Milliseconds;
-  /** Sent later, its answer begins when its caller has left. */
+  /** Latest time to send the request for its answer to start before its caller gives up. */
   worthUntil: Milliseconds;
 }
 
-/** What was sent of a model since a line of it began. */
+/** Number of requests sent for a model since its queue was last empty. */
 export interface LinePace {
   since: Milliseconds;
   sent: number;
 }
 
-/** Less says nothing of the pace. */
-const LEAST_OBSERVED_MS: Milliseconds = 1_000;
+/** Minimum time to measure the throughput; shorter measurements are not significant. */
+const MIN_OBSERVATION_MS: Milliseconds = 1_000;
 /**
- * Multiples of the pace that the turns are reckoned with: lines end when replicas open or the load
- * falls, and one that is refused too soon is lost for certain, while one that waits too long is merely
- * told later.
+ * Factor by which the throughput is assumed to exceed the measured one. Errs towards queueing: a
+ * request that is refused too early can't be served any more if the load falls or replicas are added,
+ * while one that is queued for too long is only refused later.
  */
-const PACE_MARGIN = 2;
+const THROUGHPUT_SAFETY_FACTOR = 2;
 
 /**
- * `waiting` in the order of their turns: by rank; then those that can be in time, newest first; then
- * the others, oldest first, since all of them are late alike and the oldest leave soonest.
+ * Sorts `waiting` by rank; then requests that can be on time, newest first; then the late requests,
+ * oldest first, since the callers of the oldest give up soonest.
  */
 export function orderLine<Waiting extends WaitingRequest>(
   waiting: Iterable<Waiting>,
@@ -52,8 +51,8 @@
 }
 
 /**
- * Those of `ordered` that won't be served while it is worth anything: their time is over, or at the
- * pace so far their turn comes after it. They are refused at once and told when to come back.
+ * Returns the requests of `ordered` that won't be sent before their callers give up: their time has
+ * passed, or it will pass before they are sent at the measured throughput.
  */
 export function listHopeless<Waiting extends WaitingRequest>(
   ordered: readonly Waiting[],
@@ -61,9 +60,9 @@
   { since, sent }: LinePace,
 ): Waiting[] {
   const observedMs = now - since;
-  const perMs = observedMs < LEAST_OBSERVED_MS ? Infinity : Math.max(1, sent) / observedMs;
+  const sentPerMs = observedMs < MIN_OBSERVATION_MS ? Infinity : Math.max(1, sent) / observedMs;
   return ordered.filter(({ worthUntil }, index) => {
-    const leftMs = worthUntil - now;
-    return leftMs <= 0 || index > PACE_MARGIN * perMs * leftMs;
+    const remainingMs = worthUntil - now;
+    return remainingMs <= 0 || index > THROUGHPUT_SAFETY_FACTOR * sentPerMs * remainingMs;
   });
 }
