--- a/features/routing/history.ts
+++ b/features/routing/history.ts
@@ -18,7 +18,10 @@
 const STEPS = 250;
 export const MAX_QUEUE_LENGTH = 6;
 
-/** A simulated history. `outcomes` maps tickets that left the queue to `refuse`, `send` or `withdrawn`. */
+/**
+ * A simulated history. `outcomes` maps tickets that left the queue to `refuse`, `send` or
+ * `withdrawn`.
+ */
 export interface RoutingHistory {
   offered: Map<string, WaitingRequest>;
   outcomes: Map<string, string>;
@@ -48,7 +51,7 @@
       running.push(action.ticket);
       const request = history.offered.get(action.ticket);
       assert.ok(request && !request.excluded.includes(action.candidate.replica));
-      assert.ok(now < request.deadlineAt, 'sent past its deadline');
+      assert.ok(now < request.deadlineAt, 'sent after its deadline');
     }
     for (const count of state.waitingByWorkspace.values()) {
       history.longestQueue = Math.max(history.longestQueue, count);
@@ -88,7 +91,10 @@
 }
 
 function recordOutcome(history: RoutingHistory, ticket: string, outcome: string): void {
-  assert.ok(!history.outcomes.has(ticket), `${ticket} was ${history.outcomes.get(ticket)} before`);
+  assert.ok(
+    !history.outcomes.has(ticket),
+    `${ticket} already has the outcome ${history.outcomes.get(ticket)}`,
+  );
   history.outcomes.set(ticket, outcome);
 }
 
--- a/features/routing/routing.feature
+++ b/features/routing/routing.feature
@@ -70,7 +70,7 @@
 
   Rule: Instances of plain services
 
-    # Guards against a failing instance that attracts all calls because it has the fewest outstanding.
+    # Guards against a failing instance that gets all calls because it has the fewest outstanding.
     Scenario: A failing service instance is left alone for a while
       Given three service instances of which one fails all its calls
       When 100 calls are routed to service instances
--- a/features/routing/routing.steps.ts
+++ b/features/routing/routing.steps.ts
@@ -251,7 +251,7 @@
   'between {int} and {int} of those sent are of the workspace with weight 3',
   function (this: RoutingWorld, min: number, max: number) {
     const count = this.requests.filter(({ workspace }) => workspace === 'heavy').length;
-    assert.ok(count >= min && count <= max, `${count} were`);
+    assert.ok(count >= min && count <= max, `${count} are of weight 3`);
   },
 );
 
@@ -263,7 +263,7 @@
   'between {int} and {int} of those sent are batch requests',
   function (this: RoutingWorld, min: number, max: number) {
     const count = this.requests.filter((request) => request.class === 'batch').length;
-    assert.ok(count >= min && count <= max, `${count} were`);
+    assert.ok(count >= min && count <= max, `${count} are batch requests`);
   },
 );
 
@@ -391,6 +391,9 @@
 Then(
   'at most {int} of them went to the failing instance',
   function (this: RoutingWorld, max: number) {
-    assert.ok(this.failingCalls > 0 && this.failingCalls <= max, `${this.failingCalls} went there`);
+    assert.ok(
+      this.failingCalls > 0 && this.failingCalls <= max,
+      `${this.failingCalls} calls failed`,
+    );
   },
 );
--- a/features/routing/wiring.feature
+++ b/features/routing/wiring.feature
@@ -1,6 +1,6 @@
 Feature: Routing and limits as an entry runs them
 
-  # Guards against a burst of one workspace that delays other workspaces in the queues of the engines.
+  # Guards against a burst of one workspace that delays the others in the queues of the engines.
   # A crowding workspace is a noisy neighbor, which uses far more than its fair share.
   Scenario: Requests of a crowding workspace have a lower engine priority
     Given an entry that routes for workspaces "market" and "traders"
--- a/features/routing/wiring.steps.ts
+++ b/features/routing/wiring.steps.ts
@@ -148,7 +148,7 @@
     const sent = this.grants.filter(
       ({ workspace, grant }) => workspace === 'flood' && grant.kind === 'send',
     );
-    assert.ok(sent.length > 0 && sent.length <= max, `${sent.length} went out`);
+    assert.ok(sent.length > 0 && sent.length <= max, `${sent.length} requests were sent`);
   },
 );
 
@@ -164,7 +164,7 @@
   const workspaces = new Map([['newcomers', { version: 1, value }]]);
   this.board.configuration.write({ ...this.board.configuration.read(), workspaces });
   const share = this.board.limits.read().get('newcomers');
-  assert.ok(share, 'no share was on the board when the write returned');
+  assert.ok(share, 'no limit share on the board when the write returned');
 });
 
 Then('that workspace has a limit share in the same turn', function (this: WiringWorld) {
--- a/src/controllers/routing/constants.ts
+++ b/src/controllers/routing/constants.ts
@@ -26,8 +26,8 @@
 /** Requests allowed to queue at an engine beyond its batch, as a fraction of the batch size. */
 export const MAX_QUEUED_BATCH_FRACTION = 0.25;
 /**
- * Prefill backlog above which an engine receives no more requests. Requests held back here are still
- * subject to fair queueing, those queued at the engine are not.
+ * Prefill backlog above which an engine receives no more requests. Requests held back here are
+ * still subject to fair queueing, those queued at the engine are not.
  */
 export const MAX_PREFILL_BACKLOG_MS = 1_500;
 /** The same limit for requests of a noisy neighbor. */
--- a/src/controllers/routing/dispatch.ts
+++ b/src/controllers/routing/dispatch.ts
@@ -101,9 +101,9 @@
 }
 
 /**
- * Sends or refuses the first request in serving order for which that is possible; returns `false` if
- * there is none. After a noisy neighbor found no capacity, other noisy neighbors are skipped, and
- * after any other request found none, the search ends.
+ * Sends or refuses the first request in serving order for which that is possible; returns `false`
+ * if there is none. After a noisy neighbor found no capacity, other noisy neighbors are skipped,
+ * and the search ends after any other request without excluded replicas found none.
  */
 function sendNext(context: DispatchContext, queue: ModelQueue, index: CandidateIndex): boolean {
   const { state, view, now } = context;
@@ -153,8 +153,8 @@
 }
 
 /**
- * Refuses new requests that would miss their deadline. An early refusal leaves their callers time to
- * use another entry.
+ * Refuses new requests that would miss their deadline. An early refusal leaves their callers time
+ * to use another entry.
  */
 function refuseUnservableNewRequests(context: DispatchContext, queue: ModelQueue): void {
   for (const ticket of queue.uncheckedTickets.splice(0)) {
--- a/src/controllers/routing/prefix-cache.ts
+++ b/src/controllers/routing/prefix-cache.ts
@@ -1,8 +1,8 @@
 /**
  * Tracks which prompt prefixes each replica has probably cached.
  *
- * The sources are the requests that this entry sent and the cache events of the engines. The data is
- * a hint: if it is wrong, prompts are prefilled again, but answers stay correct.
+ * The sources are the requests that this entry sent and the cache events of the engines. The data
+ * is a hint: if it is wrong, prompts are prefilled again, but answers stay correct.
  */
 import type { CacheEvent, CacheEventList } from '../../adapters/engines/protocol.js';
 import { MAX_PREFIXES_PER_REPLICA, MAX_REPLICAS_PER_PREFIX } from './constants.js';
--- a/src/controllers/routing/prefixes.ts
+++ b/src/controllers/routing/prefixes.ts
@@ -1,9 +1,9 @@
 /**
  * Hashes of prompt prefixes, by which entries and engines identify cached prefixes.
  *
- * The prompt is split into blocks of {@link BLOCK_TOKENS} tokens. Each hash covers the previous hash
- * and one block, so it identifies the whole prompt up to the end of that block. The hash must be
- * collision-resistant (SHA-256) because it also addresses exported KV cache: with a collision, a
+ * The prompt is split into blocks of {@link BLOCK_TOKENS} tokens. Each hash covers the previous
+ * hash and one block, so it identifies the whole prompt up to the end of that block. The hash must
+ * be collision-resistant (SHA-256) because it also addresses exported KV cache: with a collision, a
  * prompt would be continued from the state of another one.
  */
 import { createHash } from 'node:crypto';
--- a/src/controllers/routing/queues.ts
+++ b/src/controllers/routing/queues.ts
@@ -3,10 +3,10 @@
  *
  * Classes are served in order of priority. To prevent starvation, a class is served out of order
  * once higher classes were served {@link STARVATION_FACTOR} times the cost of its next request.
- * Within a class, workspaces are served by start-time fair queueing: the virtual time of a workspace
- * queue advances by the served tokens divided by its weight, and the queue with the lowest virtual
- * time is next. An empty queue that becomes active starts at the virtual time of the class, so that
- * idle workspaces accumulate no credit.
+ * Within a class, workspaces are served by start-time fair queueing: the virtual time of a
+ * workspace queue advances by the served tokens divided by its weight, and the queue with the
+ * lowest virtual time is next. An empty queue that becomes active starts at the virtual time of the
+ * class, so that idle workspaces accumulate no credit.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { createFailure, type Failure } from '../../core/errors/index.js';
--- a/src/controllers/routing/types.ts
+++ b/src/controllers/routing/types.ts
@@ -31,7 +31,10 @@
   load: ReplicaLoad | undefined;
 }
 
-/** A prompt prefix that an engine may have cached. Lists of prefixes are sorted by length, ascending. */
+/**
+ * A prompt prefix that an engine may have cached. Lists of prefixes are sorted by length,
+ * ascending.
+ */
 export interface Prefix {
   hash: string;
   tokens: number;
@@ -72,7 +75,9 @@
 /** Result of a `dispatch` call. */
 export interface DispatchResult {
   actions: readonly DispatchAction[];
-  /** When to call `dispatch` again if no event arrives earlier; absent when the queues are empty. */
+  /**
+   * When to call `dispatch` again if no event arrives earlier; absent when the queues are empty.
+   */
   wakeAt?: Milliseconds;
 }
 
--- a/src/controllers/waiting/capacity.ts
+++ b/src/controllers/waiting/capacity.ts
@@ -8,8 +8,8 @@
 import type { TargetState } from '../forwarding/choose.js';
 
 /**
- * Requests that may queue at a target, as a fraction of its slots. They take a free slot immediately,
- * which hides the network latency between the gateway and the target.
+ * Requests that may queue at a target, as a fraction of its slots. They take a free slot
+ * immediately, which hides the network latency between the gateway and the target.
  */
 const MAX_QUEUED_SLOT_FRACTION = 0.1;
 
--- a/src/controllers/waiting/queue-order.ts
+++ b/src/controllers/waiting/queue-order.ts
@@ -2,8 +2,8 @@
  * Orders the requests that are queued until a target has capacity, and finds those to refuse.
  *
  * Under overload, first-in, first-out would delay every request past its target time. Last-in,
- * first-out among the requests that can still be on time lets most of them start on time; the others
- * are served when the load falls, or refused early.
+ * first-out among the requests that can still be on time lets most of them start on time; the
+ * others are served when the load falls, or refused early.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 
@@ -29,8 +29,8 @@
 const MIN_OBSERVATION_MS: Milliseconds = 1_000;
 /**
  * Factor by which the throughput is assumed to exceed the measured one. Errs towards queueing: a
- * request that is refused too early can't be served any more if the load falls or replicas are added,
- * while one that is queued for too long is only refused later.
+ * request that is refused too early can't be served any more if the load falls or replicas are
+ * added, while one that is queued for too long is only refused later.
  */
 const THROUGHPUT_SAFETY_FACTOR = 2;
 
