--- /dev/null
+++ b/src/controllers/waiting/queue-order.ts
@@ -0,0 +1,68 @@
+/**
+ * Orders the requests that are queued until a target has capacity, and finds those to refuse.
+ *
+ * Under overload, first-in, first-out would delay every request past its target time. Last-in,
+ * first-out among the requests that can still be on time lets most of them start on time; the
+ * others are served when the load falls, or refused early.
+ */
+import type { Milliseconds } from '../../core/clock/index.js';
+
+/** A queued request with the properties that determine its position. */
+export interface WaitingRequest {
+  /** Requests with a lower rank are served first. */
+  rank: number;
+  /** Time of arrival. */
+  since: Milliseconds;
+  /** Latest time to send the request for its answer to start within the target time. */
+  onTimeUntil: Milliseconds;
+  /** Latest time to send the request for its answer to start before its caller gives up. */
+  worthUntil: Milliseconds;
+}
+
+/** Number of requests sent for a model since its queue was last empty. */
+export interface LinePace {
+  since: Milliseconds;
+  sent: number;
+}
+
+/** Minimum time to measure the throughput; shorter measurements are not significant. */
+const MIN_OBSERVATION_MS: Milliseconds = 1_000;
+/**
+ * Factor by which the throughput is assumed to exceed the measured one. Errs towards queueing: a
+ * request that is refused too early can't be served any more if the load falls or replicas are
+ * added, while one that is queued for too long is only refused later.
+ */
+const THROUGHPUT_SAFETY_FACTOR = 2;
+
+/**
+ * Sorts `waiting` by rank; then requests that can be on time, newest first; then the late requests,
+ * oldest first, since the callers of the oldest give up soonest.
+ */
+export function orderLine<Waiting extends WaitingRequest>(
+  waiting: Iterable<Waiting>,
+  now: Milliseconds,
+): Waiting[] {
+  const isLate = ({ onTimeUntil }: WaitingRequest): boolean => now > onTimeUntil;
+  return [...waiting].sort((a, b) => {
+    if (a.rank !== b.rank) return a.rank - b.rank;
+    if (isLate(a) !== isLate(b)) return Number(isLate(a)) - Number(isLate(b));
+    return isLate(a) ? a.since - b.since : b.since - a.since;
+  });
+}
+
+/**
+ * Returns the requests of `ordered` that won't be sent before their callers give up: their time has
+ * passed, or it will pass before they are sent at the measured throughput.
+ */
+export function listHopeless<Waiting extends WaitingRequest>(
+  ordered: readonly Waiting[],
+  now: Milliseconds,
+  { since, sent }: LinePace,
+): Waiting[] {
+  const observedMs = now - since;
+  const sentPerMs = observedMs < MIN_OBSERVATION_MS ? Infinity : Math.max(1, sent) / observedMs;
+  return ordered.filter(({ worthUntil }, index) => {
+    const remainingMs = worthUntil - now;
+    return remainingMs <= 0 || index > THROUGHPUT_SAFETY_FACTOR * sentPerMs * remainingMs;
+  });
+}
