--- a/src/controllers/forwarding/choose.ts
+++ b/src/controllers/forwarding/choose.ts
@@ -1,38 +1,37 @@
 /**
- * Choice of the target that should answer a request soonest.
+ * Selects the target with the lowest estimated wait for a request.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Random } from '../../core/random/index.js';
 import type { Target } from './directory.js';
 
-/** What is known of a target at the moment of choice. */
+/** Load and health of a target at selection time. */
 export interface TargetState {
   target: Target;
-  /** Requests of all entries under way there, as far as known. */
+  /** Known requests in flight at the target, from all gateways. */
   inFlight: number;
-  /** Requests that it works on at once. */
+  /** Requests that the target processes concurrently. */
   slots: number;
-  /** It lies in another failure domain than this entry. */
+  /** Whether the target is in another failure domain than this gateway. */
   isRemote: boolean;
-  /** Part of its last answers that were failures of its own, 0 to 1. */
+  /** Fraction of recent responses that were failures of the target itself, 0 to 1. */
   failing: number;
 }
 
 /**
- * Mean time that a request occupies a slot. The sheets of both users give 1 to 1.7 s for a whole
- * stream of their engines; only the ratio to the other costs matters.
+ * Mean time that a request occupies a slot. Only its ratio to the other costs affects the selection.
  */
 const SLOT_TIME_MS: Milliseconds = 1_200;
-/** Slow-down of all requests of a target when its slots go from empty to full. */
-const CROWDING_MS: Milliseconds = 120;
-/** What bytes between failure domains are worth; the way itself takes 1 to 3 ms. */
-const REMOTE_MS: Milliseconds = 40;
-/** Cost of a target whose every answer fails. */
-const FAILING_MS: Milliseconds = 2_000;
+/** Slowdown of every request at a target when its slots go from empty to full. */
+const LOAD_PENALTY_MS: Milliseconds = 120;
+/** Penalty for traffic between failure domains, to keep requests local; not the latency itself. */
+const CROSS_DOMAIN_PENALTY_MS: Milliseconds = 40;
+/** Penalty for a target whose responses all fail; scaled by the failure rate. */
+const FAILURE_PENALTY_MS: Milliseconds = 2_000;
 
 /**
- * The state with the least estimated wait; equal ones are drawn, so that entries that know the
- * same do not all send to the same target. Undefined when there is none.
+ * Returns the state with the lowest estimated wait, or undefined when `states` is empty. Ties are
+ * broken at random, so that gateways with the same view do not all pick the same target.
  */
 export function chooseTarget(
   states: readonly TargetState[],
@@ -49,14 +48,14 @@
   return best;
 }
 
-/** Estimated wait at a target with its penalties, in milliseconds. */
+/** Estimated wait at a target plus its penalties, in milliseconds. */
 function estimateCost(state: TargetState): Milliseconds {
   const { inFlight, slots, isRemote, failing } = state;
   const queued = Math.max(0, inFlight + 1 - slots);
   return (
-    (CROWDING_MS * Math.min(inFlight, slots)) / slots +
+    (LOAD_PENALTY_MS * Math.min(inFlight, slots)) / slots +
     (SLOT_TIME_MS * queued) / slots +
-    (isRemote ? REMOTE_MS : 0) +
-    FAILING_MS * failing
+    (isRemote ? CROSS_DOMAIN_PENALTY_MS : 0) +
+    FAILURE_PENALTY_MS * failing
   );
 }
--- a/src/controllers/forwarding/directory.ts
+++ b/src/controllers/forwarding/directory.ts
@@ -1,38 +1,39 @@
 /**
- * Which backend servers may take requests of a service, or of a model of a service.
+ * Lists the backend servers that can accept requests for a service or for a model of a service.
  */
 import { groupBy } from '../../core/collections/index.js';
 import type { BackendServer, ServingService } from '../../ports/index.js';
 import type { ServingFleet } from './fleet.js';
 
-/** A backend server that takes requests. For engines it is the head of a whole replica. */
+/** A backend server that accepts requests. For engines, the head of a complete replica. */
 export interface Target {
   server: BackendServer;
-  /** All members of the replica, the head included; the server alone for plain services. */
+  /** Ids of all replica members including the head; only the server itself for plain services. */
   members: readonly string[];
 }
 
-/** The targets of a service or model, apart by where they lie. */
+/** The targets of a service or model, split by failure domain. */
 export interface TargetList {
-  /** In the failure domain of the one that asks. */
+  /** Targets in the failure domain of the requesting gateway. */
   near: readonly Target[];
+  /** Targets in all other failure domains. */
   far: readonly Target[];
 }
 
-/** The targets of each service and model, worked out once for each state of the fleet. */
+/** Finds the targets of a service or model; results are cached per fleet state. */
 export interface TargetDirectory {
   find(service: ServingService, model: string | undefined): TargetList;
 }
 
 /**
- * The targets in `fleet`, as seen from `failureDomain`.
+ * Creates the directory of the targets in `fleet`, as seen from `failureDomain`.
  *
- * A replica counts as whole while each of its members has an entry, reports the replica's group and
- * epoch, and is not leaving. Guards against requests that wait at a head whose member is gone: the
- * head accepts them, and nothing of them moves until it gives the replica up.
+ * A replica is complete while each of its members is registered, reports the replica's group and
+ * epoch, and is not leaving. The head of an incomplete replica still accepts requests, but they make
+ * no progress until the head gives up the replica.
  */
 export function createTargetDirectory(fleet: ServingFleet, failureDomain: string): TargetDirectory {
-  // Made with the first question: most changes of the fleet come before anybody asks.
+  // Built on the first lookup: most fleet states are replaced before any lookup.
   let byService: ReadonlyMap<string, readonly BackendServer[]> | undefined;
   const cache = new Map<string, TargetList>();
   return {
@@ -42,14 +43,14 @@
       if (known) return known;
       byService ??= groupBy(fleet.servers.values(), (server) => server.service);
       const all = findTargets(byService.get(service.name) ?? [], service, model);
-      const found = splitByPlace(all, failureDomain);
-      cache.set(key, found);
-      return found;
+      const targets = splitByPlace(all, failureDomain);
+      cache.set(key, targets);
+      return targets;
     },
   };
 }
 
-/** `targets` by where they lie, as seen from `failureDomain`. */
+/** Splits `targets` into those in `failureDomain` and all others. */
 export function splitByPlace(targets: readonly Target[], failureDomain: string): TargetList {
   const isNear = ({ server }: Target): boolean => server.failureDomain === failureDomain;
   return { near: targets.filter(isNear), far: targets.filter((target) => !isNear(target)) };
@@ -68,26 +69,28 @@
   const size = service.engine.models.find(({ name }) => name === model)?.size;
   if (size === undefined) return [];
   return listReplicas(servers)
-    .filter(({ head, places }) => head.engine?.model === model && isWhole(places, size))
+    .filter(({ head, ranks }) => head.engine?.model === model && hasAllRanks(ranks, size))
     .map(({ head, members }) => ({ server: head, members: members.map(({ id }) => id) }));
 }
 
-/** Each place is taken, and there is none beyond the model's size. */
-function isWhole(places: ReadonlySet<number>, size: number): boolean {
-  return places.size === size && [...places].every((place) => place < size);
+/** Whether `ranks` holds each rank below `size` and no other. */
+function hasAllRanks(ranks: ReadonlySet<number>, size: number): boolean {
+  return ranks.size === size && [...ranks].every((rank) => rank < size);
 }
 
 interface Replica {
   head: BackendServer;
   members: readonly BackendServer[];
-  /** Places in the replica that a member has, by the members' own words. */
-  places: ReadonlySet<number>;
+  /** Ranks reported by the members. */
+  ranks: ReadonlySet<number>;
 }
 
 /**
- * Guards against an entry that was copied under another name: one replica then has two members in
- * one place. It is whole all the same, and each that claims the head's place is a head; the wrong one
- * refuses what it gets unrun.
+ * Groups engine servers into replicas by group and epoch.
+ *
+ * When a registration was copied under another id, two members report the same rank. The replica
+ * still counts as complete, and every member that reports rank 0 is listed as a head; the wrong one
+ * rejects requests without running them.
  */
 function listReplicas(servers: readonly BackendServer[]): Replica[] {
   const groups = groupBy(servers, ({ engine, leaving }) => {
@@ -95,12 +98,12 @@
     return membership && !leaving ? `${membership.group} ${membership.epoch}` : undefined;
   });
   return [...groups.values()].flatMap((members) => {
-    const ranks = members.map(({ engine }) => engine?.membership?.rank);
-    const places = new Set(ranks.filter((rank) => rank !== undefined));
-    const others = members.filter((_, index) => ranks[index] !== 0);
+    const memberRanks = members.map(({ engine }) => engine?.membership?.rank);
+    const ranks = new Set(memberRanks.filter((rank) => rank !== undefined));
+    const others = members.filter((_, index) => memberRanks[index] !== 0);
     return members
-      .filter((_, index) => ranks[index] === 0)
+      .filter((_, index) => memberRanks[index] === 0)
       .filter(({ engine }) => engine?.membership?.state === 'open')
-      .map((head) => ({ head, members: [head, ...others], places }));
+      .map((head) => ({ head, members: [head, ...others], ranks }));
   });
 }
--- a/src/controllers/forwarding/event-stream.ts
+++ b/src/controllers/forwarding/event-stream.ts
@@ -1,64 +1,66 @@
 /**
- * Cutting a stream of server-sent events into whole events with their ids.
+ * Splits a stream of server-sent events into complete events and tracks their ids.
  *
- * Guards against a piece that comes twice or is missing after a stream went on elsewhere. Only
- * whole events are passed on, so the caller never holds half an event; the next run begins after
- * the last id that was passed on, and what it repeats is dropped.
+ * Prevents duplicate and missing events when a stream is resumed on another backend server. Only
+ * complete events are forwarded, so the caller never has a partial event. The next run resumes after
+ * the last forwarded id, and events that it repeats are dropped.
  */
 
-/** What a chunk brought. */
+/** The result of processing one chunk. */
 export type StreamPart =
-  /** Bytes of whole events, ready to pass on; empty when no event is complete. */
+  /** Bytes of complete events, ready to forward; empty when no event is complete. */
   | { kind: 'events'; bytes: Buffer; count: number }
-  /** Events are missing between what was passed on and this one. */
+  /** Events are missing between the last forwarded one and this one. */
   | { kind: 'gap' };
 
 const LINE_FEED = 0x0a;
 const ID_FIELD = /^id:[ ]?(.*)$/m;
 
-/** The state of one answer across all its runs. Changed in place, owned by one request. */
+/** The state of one response across all its runs. Mutable; owned by one request. */
 export class EventStream {
-  private rest: Buffer = Buffer.alloc(0);
+  private partialEvent: Buffer = Buffer.alloc(0);
   private last: number | undefined;
 
-  /** `lastEventId` is where the caller itself asked to go on. */
+  /** `lastEventId` is the id after which the caller asked to resume. */
   constructor(lastEventId?: string) {
     this.last = parseId(lastEventId);
   }
 
-  /** The id of the last event that was passed on, if events have numbers for ids. */
+  /** The id of the last forwarded event; undefined unless events have integer ids. */
   get lastEventId(): string | undefined {
     return this.last === undefined ? undefined : String(this.last);
   }
 
-  /** Bytes of an event that is not complete. */
+  /** Whether part of an incomplete event is buffered. */
   get isMidEvent(): boolean {
-    return this.rest.length > 0;
+    return this.partialEvent.length > 0;
   }
 
-  /** A new run begins: what the last one left of an event will come again. */
+  /** Starts a new run and discards the partial event of the last one, which is sent again. */
   startRun(): void {
-    this.rest = Buffer.alloc(0);
+    this.partialEvent = Buffer.alloc(0);
   }
 
+  /** Appends a chunk and returns the new complete events. */
   push(chunk: Buffer): StreamPart {
-    const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
-    const passed: Buffer[] = [];
+    const bytes =
+      this.partialEvent.length === 0 ? chunk : Buffer.concat([this.partialEvent, chunk]);
+    const newEvents: Buffer[] = [];
     let start = 0;
     for (let end = findEventEnd(bytes, start); end > 0; end = findEventEnd(bytes, start)) {
       const event = bytes.subarray(start, end);
       start = end;
-      const verdict = this.judge(event);
-      if (verdict === 'gap') return { kind: 'gap' };
-      if (verdict === 'new') passed.push(event);
+      const classification = this.classify(event);
+      if (classification === 'gap') return { kind: 'gap' };
+      if (classification === 'new') newEvents.push(event);
     }
-    this.rest = bytes.subarray(start);
-    const [only] = passed;
-    const joined = passed.length === 1 && only ? only : Buffer.concat(passed);
-    return { kind: 'events', bytes: joined, count: passed.length };
+    this.partialEvent = bytes.subarray(start);
+    const [first] = newEvents;
+    const joined = newEvents.length === 1 && first ? first : Buffer.concat(newEvents);
+    return { kind: 'events', bytes: joined, count: newEvents.length };
   }
 
-  private judge(event: Buffer): 'new' | 'known' | 'gap' {
+  private classify(event: Buffer): 'new' | 'known' | 'gap' {
     const id = parseId(ID_FIELD.exec(event.toString('latin1'))?.[1]);
     if (id === undefined) return 'new';
     const { last } = this;
@@ -75,7 +77,7 @@
   return Number.isInteger(id) && text.trim() !== '' ? id : undefined;
 }
 
-/** The index after the blank line that ends the event at `start`; 0 when it is not complete. */
+/** Returns the index after the blank line that ends the event at `start`; 0 when incomplete. */
 function findEventEnd(bytes: Buffer, start: number): number {
   let index = bytes.indexOf(LINE_FEED, start);
   while (index >= 0 && index + 1 < bytes.length) {
--- a/src/controllers/forwarding/expected-time.ts
+++ b/src/controllers/forwarding/expected-time.ts
@@ -1,19 +1,19 @@
 /**
- * How long a request may take, from what it asks for and from what others took lately.
+ * Estimates the duration of a request from its size and from recent request durations.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { EngineProfile, GroupModel, Route } from '../../ports/index.js';
 
-/** The slowness that was seen loses half of its distance from 1 in this span, as replicas are repaired. */
+/** Half-life of the recorded slowness, which decays towards 1. */
 const SLOWNESS_HALF_LIFE_MS: Milliseconds = 10_000;
 
 /**
- * A whole stream on a replica whose slots are all taken: the time that the operator allows up to the
- * first event, reading the prompt, then every output token that the caller allows. Infinite when the
- * caller doesn't say how many.
+ * Estimates the duration of a complete stream on a replica with all slots in use: the route's target
+ * time to the first event, prompt prefill, and decoding of the maximum number of output tokens.
+ * Infinite when the caller sets no maximum.
  *
- * Without the first part the estimates of short streams would be so small that their waits count as
- * slowness of the replica, and long streams would be refused for it.
+ * The target time is included because otherwise the queueing of short streams would count as
+ * slowness of the replica, and long streams would be rejected for it.
  */
 export function estimateStream(
   { targetMs }: Pick<Route, 'targetMs'>,
@@ -23,38 +23,38 @@
   outputTokens: number,
 ): Milliseconds {
   if (outputTokens <= 0) return Infinity;
-  const reading = promptTokens / profile.promptTokensPerMs;
-  const step = profile.stepMs + profile.stepPerRequestMs * profile.slots;
-  return targetMs + model.pace * (reading + outputTokens * step);
+  const prefillMs = promptTokens / profile.promptTokensPerMs;
+  const decodeStepMs = profile.stepMs + profile.stepPerRequestMs * profile.slots;
+  return targetMs + model.pace * (prefillMs + outputTokens * decodeStepMs);
 }
 
-interface Worst {
+interface PeakRatio {
   ratio: number;
   at: Milliseconds;
 }
 
 /**
- * The worst that requests of one kind took lately, as a multiple of their estimates. Changed in
- * place, owned by one shell.
+ * Tracks the highest recent ratio of actual to estimated duration for each kind of request. Mutable;
+ * has a single owner.
  *
- * Guards against estimates that hold for a sound replica only: requests also wait in queues, and
- * replicas slow down. Those that ended early count too, since they took at least as long as that.
+ * Corrects estimates for queueing and degraded replicas. Requests that ended early count too: their
+ * duration is a lower bound.
  */
 export class SlownessTable {
-  private readonly worst = new Map<string, Worst>();
+  private readonly peaks = new Map<string, PeakRatio>();
 
-  /** A request of `kind`, estimated to take `estimateMs`, took `tookMs`. */
+  /** Records that a request of `kind`, estimated at `estimateMs`, took `tookMs`. */
   record(kind: string, estimateMs: Milliseconds, tookMs: Milliseconds, now: Milliseconds): void {
     if (!Number.isFinite(estimateMs) || estimateMs <= 0) return;
     const ratio = tookMs / estimateMs;
-    if (ratio > this.slownessOf(kind, now)) this.worst.set(kind, { ratio, at: now });
+    if (ratio > this.slownessOf(kind, now)) this.peaks.set(kind, { ratio, at: now });
   }
 
-  /** 1 or more. */
+  /** Returns the decayed peak ratio for `kind`; at least 1. */
   slownessOf(kind: string, now: Milliseconds): number {
-    const worst = this.worst.get(kind);
-    if (worst === undefined) return 1;
-    const left = 0.5 ** ((now - worst.at) / SLOWNESS_HALF_LIFE_MS);
-    return 1 + (worst.ratio - 1) * left;
+    const peak = this.peaks.get(kind);
+    if (peak === undefined) return 1;
+    const decay = 0.5 ** ((now - peak.at) / SLOWNESS_HALF_LIFE_MS);
+    return 1 + (peak.ratio - 1) * decay;
   }
 }
--- a/src/controllers/forwarding/failure-rates.ts
+++ b/src/controllers/forwarding/failure-rates.ts
@@ -1,17 +1,17 @@
 /**
- * Backend servers that answer with failures of their own while they look healthy.
+ * Tracks failure rates of backend servers, to detect those that fail requests but pass health checks.
  */
 
-/** Weight of the newest answer; about the last ten count. */
-const NEWEST = 0.15;
+/** Weight of the latest response in the moving average. */
+const SMOOTHING_FACTOR = 0.15;
 
-/** Part of each server's last answers that were failures. Changed in place, owned by one shell. */
+/** Exponentially weighted failure rate of each server. Mutable; has a single owner. */
 export class FailureRates {
   private readonly rates = new Map<string, number>();
 
   record(server: string, failed: boolean): void {
     const rate = this.rateOf(server);
-    this.rates.set(server, rate + NEWEST * ((failed ? 1 : 0) - rate));
+    this.rates.set(server, rate + SMOOTHING_FACTOR * ((failed ? 1 : 0) - rate));
   }
 
   rateOf(server: string): number {
--- a/src/controllers/forwarding/fleet.ts
+++ b/src/controllers/forwarding/fleet.ts
@@ -1,22 +1,22 @@
 /**
- * The backend servers as this entry knows them, and which of them may take requests.
+ * The gateway's view of the registered backend servers, and how changes in the store update it.
  */
 import { isDeepStrictEqual } from 'node:util';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { BackendServer } from '../../ports/index.js';
 
-/** All known backend servers. Replaced, never changed in place. */
+/** All known backend servers. Immutable. */
 export interface ServingFleet {
-  /** The store's revision that it stands for; 0 before the first list. */
+  /** The store revision of this state; 0 before the first list. */
   revision: number;
   servers: ReadonlyMap<string, BackendServer>;
-  /** Servers that are not what they were in the fleet before: who follows changes looks at these alone. */
+  /** Ids of the servers that differ from the previous state. */
   changed: readonly string[];
-  /** Entries that vanished around an outage of the store, with the instant at which they count as gone. */
+  /** Servers whose entries disappeared around a store outage, with the time of their removal. */
   vanished: ReadonlyMap<string, Milliseconds>;
 }
 
-/** The fleet before anything is known. */
+/** The fleet before the first list from the store. */
 export const EMPTY_FLEET: ServingFleet = {
   revision: 0,
   servers: new Map(),
@@ -24,17 +24,16 @@
   vanished: new Map(),
 };
 
-/** One change of a backend server's entry. */
+/** A change of one backend server's entry in the store. */
 export type FleetChange =
   { kind: 'present'; server: BackendServer } | { kind: 'absent'; id: string };
 
 /**
- * `fleet` after `changes`. `absentFrom` is the instant from which entries that are now absent count
- * as gone: now, or later after an outage of the store.
+ * Returns `fleet` with `changes` applied. `absentFrom` is the time at which absent entries are
+ * removed: `now`, or later after a store outage.
  *
- * Guards against an outage of the store being taken for the death of all backend servers: entries
- * lapse while nobody can renew them and are back a moment after its return. Without the delay each
- * outage would take all capacity out of service and tear all replicas apart.
+ * Entries expire during a store outage because they can't be renewed, and reappear shortly after it.
+ * Without the delay, each outage would remove all capacity and disband all replicas.
  */
 export function applyFleetChanges(
   fleet: ServingFleet,
@@ -48,7 +47,7 @@
   for (const change of changes) {
     switch (change.kind) {
       case 'present':
-        keepChange(servers, change.server);
+        setIfChanged(servers, change.server);
         vanished.delete(change.server.id);
         break;
       case 'absent':
@@ -61,12 +60,12 @@
   return { revision, servers, vanished, changed };
 }
 
-/** The server that `change` is about. */
+/** Returns the id of the changed server. */
 export function idOf(change: FleetChange): string {
   return change.kind === 'present' ? change.server.id : change.id;
 }
 
-/** Those of `touched` that are not in `servers` what they were in `before`. */
+/** Returns the ids in `touched` whose server differs between `before` and `servers`. */
 export function listChanged(
   before: ServingFleet,
   servers: ServingFleet['servers'],
@@ -75,30 +74,30 @@
   return [...new Set(touched)].filter((id) => before.servers.get(id) !== servers.get(id));
 }
 
-/** A server that is as it was stays the same value, so that a list changes only what has changed. */
-function keepChange(servers: Map<string, BackendServer>, server: BackendServer): void {
+/** Stores `server` only if it differs, so that unchanged servers keep their object identity. */
+function setIfChanged(servers: Map<string, BackendServer>, server: BackendServer): void {
   const before = servers.get(server.id);
-  const after = keepLastModel(before, server);
+  const after = withLastModel(before, server);
   if (!isDeepStrictEqual(before, after)) servers.set(server.id, after);
 }
 
-/** `server` with the model that it was last seen with in the same life; another one has none. */
-function keepLastModel(before: BackendServer | undefined, server: BackendServer): BackendServer {
+/** Adds the model that `server` last reported since its current start, if any. */
+function withLastModel(before: BackendServer | undefined, server: BackendServer): BackendServer {
   const { engine } = server;
-  const known = before?.startedAt === server.startedAt ? before?.engine?.lastModel : undefined;
-  const lastModel = engine?.model ?? known;
+  const previousModel =
+    before?.startedAt === server.startedAt ? before?.engine?.lastModel : undefined;
+  const lastModel = engine?.model ?? previousModel;
   if (engine === undefined || lastModel === undefined) return server;
   return { ...server, engine: { ...engine, lastModel } };
 }
 
 /**
- * What the newest entry of a server says of it, with `known` as what was known of it and `read` as
- * what could be read of the entry; undefined when it names no server that is known.
+ * Resolves a server from its previous state `known` and its decoded entry `read`; undefined when the
+ * entry is unreadable and the server unknown.
  *
- * Guards against an entry that another writer has left: its server may be there or not, so it gets
- * nothing new from now on. What is known of it is kept: its replica finishes what it has, and it
- * comes back as it was when its own entry can be read again. An entry without its start is one of
- * another writer's where the server has told its start before.
+ * An unreadable entry was overwritten by another writer, so the server may be gone: it is marked as
+ * leaving and gets no new requests, but keeps its state until its own entry is readable again. An
+ * entry without a start time counts as overwritten when the server reported one before.
  */
 export function readEntry(
   known: BackendServer | undefined,
@@ -109,7 +108,7 @@
   return known && { ...known, leaving: true };
 }
 
-/** What a whole list says: what it lacks is absent. */
+/** Converts a full list into changes: known servers that are not listed are absent. */
 export function listChanges(
   fleet: ServingFleet,
   listed: readonly BackendServer[],
@@ -122,15 +121,15 @@
   ];
 }
 
-/** `fleet` without the vanished entries whose time has come; the same value when there are none. */
+/** Removes the vanished servers that are due; returns `fleet` itself when there are none. */
 export function expireVanished(fleet: ServingFleet, now: Milliseconds): ServingFleet {
-  const due = [...fleet.vanished].filter(([, at]) => at <= now).map(([id]) => id);
-  if (due.length === 0) return fleet;
+  const expired = [...fleet.vanished].filter(([, at]) => at <= now).map(([id]) => id);
+  if (expired.length === 0) return fleet;
   const servers = new Map(fleet.servers);
   const vanished = new Map(fleet.vanished);
-  for (const id of due) {
+  for (const id of expired) {
     servers.delete(id);
     vanished.delete(id);
   }
-  return { ...fleet, servers, vanished, changed: due.filter((id) => fleet.servers.has(id)) };
+  return { ...fleet, servers, vanished, changed: expired.filter((id) => fleet.servers.has(id)) };
 }
--- a/src/controllers/forwarding/incarnations.ts
+++ b/src/controllers/forwarding/incarnations.ts
@@ -1,29 +1,28 @@
 /**
- * Lives of backend servers: the starts under one id, told apart.
+ * Tracks incarnations of backend servers: successive starts under the same id.
  *
- * Guards against what was seen of a former life speaking for or against the next one. A server that
- * starts again under its id holds nothing and has done nothing yet; taken for its former life it
- * would be avoided for failures that are not its own, or be counted on for work that it lost.
+ * A restarted server has no state and no history. Observations of its previous incarnation must not
+ * count against it, and requests in flight there must not count as running.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { BackendServer } from '../../ports/index.js';
 
-interface KnownLife {
+interface KnownIncarnation {
   startedAt: number | undefined;
-  /** When it was first seen here; before that, what was seen under its id was another life. */
+  /** When this incarnation was first seen; earlier observations belong to a previous one. */
   since: Milliseconds;
 }
 
-/** Longer than any request or suspicion of a life outlasts its entry; later there is nothing to tell apart. */
+/** Exceeds the time that any request or suspicion can outlast its server's entry. */
 const FORGET_AFTER_MS: Milliseconds = 60_000;
 
-/** The life that each id stands for. Changed in place, owned by one shell. */
+/** The current incarnation of each server id. Mutable; has a single owner. */
 export class LifeTable {
-  private readonly lives = new Map<string, KnownLife>();
-  /** Those whose entries are not there, since when. */
-  private readonly absent = new Map<string, Milliseconds>();
+  private readonly incarnations = new Map<string, KnownIncarnation>();
+  /** Servers without an entry, and the time since when. */
+  private readonly absentSince = new Map<string, Milliseconds>();
 
-  /** Takes what has changed of the servers; returns the ids under which another life has begun. */
+  /** Applies changed servers; returns the ids of those that restarted. */
   update(
     changed: Iterable<string>,
     servers: ReadonlyMap<string, BackendServer>,
@@ -32,29 +31,29 @@
     const restarted: string[] = [];
     for (const id of changed) {
       const server = servers.get(id);
-      if (server === undefined) this.absent.set(id, now);
-      else if (this.takePresent(server, now)) restarted.push(id);
+      if (server === undefined) this.absentSince.set(id, now);
+      else if (this.recordPresent(server, now)) restarted.push(id);
     }
-    for (const [id, at] of this.absent) {
+    for (const [id, at] of this.absentSince) {
       if (now - at <= FORGET_AFTER_MS) continue;
-      this.absent.delete(id);
-      this.lives.delete(id);
+      this.absentSince.delete(id);
+      this.incarnations.delete(id);
     }
     return restarted;
   }
 
-  /** Whether another life has begun. */
-  private takePresent({ id, startedAt }: BackendServer, now: Milliseconds): boolean {
-    this.absent.delete(id);
-    const known = this.lives.get(id);
+  /** Records a present server; true when it restarted. */
+  private recordPresent({ id, startedAt }: BackendServer, now: Milliseconds): boolean {
+    this.absentSince.delete(id);
+    const known = this.incarnations.get(id);
     if (known !== undefined && known.startedAt === startedAt) return false;
     const since = known === undefined ? Number.NEGATIVE_INFINITY : now;
-    this.lives.set(id, { startedAt, since });
+    this.incarnations.set(id, { startedAt, since });
     return known !== undefined;
   }
 
-  /** When the life under `id` was first seen here, if another one was known before it. */
+  /** When the current incarnation of `id` was first seen; -Infinity if no earlier one is known. */
   since(id: string): Milliseconds {
-    return this.lives.get(id)?.since ?? Number.NEGATIVE_INFINITY;
+    return this.incarnations.get(id)?.since ?? Number.NEGATIVE_INFINITY;
   }
 }
--- a/src/controllers/forwarding/retry-budget.ts
+++ b/src/controllers/forwarding/retry-budget.ts
@@ -1,74 +1,74 @@
 /**
- * How many sendings beyond the first of each request an entry may make to a service.
+ * Limits the retries that a gateway sends to a service.
  *
- * Guards against repeats that multiply an overload. All entries together may repeat a part of the
- * requests plus a fixed number in each window; each entry earns the part from its own requests and
- * takes an equal share of the fixed number, so that the sum holds without a word between them.
+ * Prevents retries from amplifying an overload. All gateways together may retry a fraction of the
+ * requests plus a fixed number per window. Each gateway applies the fraction to its own requests and
+ * takes an equal share of the fixed number, so the total holds without coordination.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 
-/** The operator's bound, for all entries together. */
-export interface RepeatBounds {
-  /** Repeats allowed for each request. */
+/** The configured retry limits, for all gateways together. */
+export interface RetryBounds {
+  /** Retries allowed per request. */
   ratio: number;
   windowMs: Milliseconds;
-  /** Repeats allowed in a window beyond that. */
+  /** Additional retries allowed per window. */
   slack: number;
 }
 
-/** Part of the bound that is used: counts of a window lag behind, and entries come and go. */
-const USED_PART = 0.85;
-const SLICES = 10;
+/** Fraction of the limit in use; allows for lagging counts and for gateways that join or leave. */
+const SAFETY_FACTOR = 0.85;
+const SLICES_PER_WINDOW = 10;
 
 interface Slice {
-  /** Number of the slice since the origin of the clock. */
+  /** Number of slices since the clock's origin. */
   index: number;
   requests: number;
-  repeats: number;
+  retries: number;
 }
 
-/** Counts of one service in the last window. Changed in place, owned by one shell. */
+/** Request and retry counts of one service in a sliding window. Mutable; has a single owner. */
 export class RepeatBudget {
   private slices: Slice[] = [];
 
-  constructor(private readonly bounds: RepeatBounds) {}
+  constructor(private readonly bounds: RetryBounds) {}
 
-  /** Counts the first sending of a request. */
+  /** Counts the first attempt of a request. */
   recordRequest(now: Milliseconds): void {
-    this.current(now).requests += 1;
+    this.currentSlice(now).requests += 1;
   }
 
-  /** Takes one repeat; false, and nothing taken, when none is left. `entries` share the slack. */
-  take(now: Milliseconds, entries: number): boolean {
-    if (!this.hasLeft(now, entries)) return false;
-    this.current(now).repeats += 1;
+  /** Takes one retry; returns false when none is left. `gateways` share the slack. */
+  take(now: Milliseconds, gateways: number): boolean {
+    if (!this.hasLeft(now, gateways)) return false;
+    this.currentSlice(now).retries += 1;
     return true;
   }
 
-  /** Whether a repeat is left. */
-  hasLeft(now: Milliseconds, entries: number): boolean {
-    this.current(now);
-    const newest = this.slices.at(-1)?.index ?? 0;
-    const inWindow = this.slices.filter(({ index }) => index > newest - SLICES);
+  /** Whether a retry is left. */
+  hasLeft(now: Milliseconds, gateways: number): boolean {
+    this.currentSlice(now);
+    const newestIndex = this.slices.at(-1)?.index ?? 0;
+    const inWindow = this.slices.filter(({ index }) => index > newestIndex - SLICES_PER_WINDOW);
     const requests = sum(inWindow, 'requests');
-    // One slice more: a window that slides holds the end of it as well as all of the newest.
-    const repeats = sum(this.slices, 'repeats');
+    // Includes one more slice: a sliding window overlaps the oldest slice and all of the newest.
+    const retries = sum(this.slices, 'retries');
     const { ratio, slack } = this.bounds;
-    const most = USED_PART * (ratio * requests + slack / Math.max(1, entries));
-    return repeats + 1 <= most;
+    const limit = SAFETY_FACTOR * (ratio * requests + slack / Math.max(1, gateways));
+    return retries + 1 <= limit;
   }
 
-  private current(now: Milliseconds): Slice {
-    const index = Math.floor(now / (this.bounds.windowMs / SLICES));
-    this.slices = this.slices.filter((slice) => slice.index >= index - SLICES);
+  private currentSlice(now: Milliseconds): Slice {
+    const index = Math.floor(now / (this.bounds.windowMs / SLICES_PER_WINDOW));
+    this.slices = this.slices.filter((slice) => slice.index >= index - SLICES_PER_WINDOW);
     const last = this.slices.at(-1);
     if (last?.index === index) return last;
-    const created = { index, requests: 0, repeats: 0 };
+    const created = { index, requests: 0, retries: 0 };
     this.slices.push(created);
     return created;
   }
 }
 
-function sum(slices: readonly Slice[], count: 'requests' | 'repeats'): number {
+function sum(slices: readonly Slice[], count: 'requests' | 'retries'): number {
   return slices.reduce((total, slice) => total + slice[count], 0);
 }
--- a/src/controllers/forwarding/routes.ts
+++ b/src/controllers/forwarding/routes.ts
@@ -1,17 +1,17 @@
 /**
- * From host and path to a route.
+ * Matches the host and path of a request to a route.
  */
 import type { Random } from '../../core/random/index.js';
 import type { Route } from '../../ports/index.js';
 
-/** Finds routes; the cost of a search grows with the depth of the path, not with the routes. */
+/** Finds routes; lookup cost grows with the depth of the path, not with the number of routes. */
 export interface RouteTable {
-  /** Of the host's routes, the one whose prefix is the longest that begins `path`. */
+  /** Returns the route of `host` with the longest prefix of `path`. */
   match(host: string, path: string): Route | undefined;
 }
 
 /**
- * A table of `routes`. Hosts are compared without their port and case.
+ * Creates a lookup table of `routes`. Host comparison ignores port and case.
  *
  * @example createRouteTable(configuration.routes).match('passes.example', '/gate/check')
  */
@@ -31,7 +31,7 @@
   };
 }
 
-/** Prefixes end with a slash, so only the parts of the path that do so can match. */
+/** Prefixes end with a slash, so only path prefixes that end with one are looked up. */
 function findLongest(prefixes: ReadonlyMap<string, Route>, path: string): Route | undefined {
   let end = path.length;
   while (end > 0) {
@@ -54,20 +54,20 @@
   return (colon < 0 ? host : host.slice(0, colon)).toLowerCase();
 }
 
-/** Whether a request of `route` may run again, as far as the route's attempts go. */
+/** Whether the route's settings allow running a request more than once. */
 export function isRepeatable({ repeatability, resumable }: Route): boolean {
   return repeatability === 'safe' || (repeatability === 'stream' && resumable);
 }
 
-/** One of the route's services, with the probability of its weight. */
+/** Picks one of the route's services by weighted random selection. */
 export function pickService(route: Route, random: Random): string | undefined {
   const { targets } = route;
   if (targets.length <= 1) return targets[0]?.service;
-  const sum = targets.reduce((total, { weight }) => total + weight, 0);
-  let left = random.fraction() * sum;
+  const totalWeight = targets.reduce((total, { weight }) => total + weight, 0);
+  let remaining = random.fraction() * totalWeight;
   for (const { service, weight } of targets) {
-    left -= weight;
-    if (left < 0) return service;
+    remaining -= weight;
+    if (remaining < 0) return service;
   }
   return targets.at(-1)?.service;
 }
--- a/src/controllers/forwarding/serving-index.ts
+++ b/src/controllers/forwarding/serving-index.ts
@@ -1,25 +1,25 @@
 /**
- * One version of the configuration, arranged for the questions of the request path.
+ * Lookup tables over one version of the configuration, for the request path.
  */
 import type { ServingConfiguration, ServingService } from '../../ports/index.js';
 import { createRouteTable, type RouteTable } from './routes.js';
 
-/** The holder of a key. */
+/** The workspace that owns an API key, and its priority. */
 export interface KeyHolder {
   workspace: string;
   priority?: number;
 }
 
-/** A configuration with its lookups. */
+/** A configuration with its lookup tables. */
 export interface ServingIndex {
   configuration: ServingConfiguration;
   routes: RouteTable;
   services: ReadonlyMap<string, ServingService>;
-  /** By key; absent when callers need none. */
+  /** Key holders by key; absent when callers need no key. */
   keyHolders?: ReadonlyMap<string, KeyHolder>;
 }
 
-/** The lookups for `configuration`; made once for each version. */
+/** Builds the lookup tables for `configuration`; called once per version. */
 export function indexConfiguration(configuration: ServingConfiguration): ServingIndex {
   const { workspaces } = configuration;
   return {
--- a/src/controllers/forwarding/stopping.ts
+++ b/src/controllers/forwarding/stopping.ts
@@ -1,61 +1,60 @@
 /**
- * Which requests a gateway that is told to stop still begins.
+ * Decides which requests a gateway still starts during a graceful shutdown.
  *
- * Guards against answers that are cut in the middle: a request that arrives after the signal may
- * take longer than what is left of the grace. Refused at once, with a promise that it did not run,
- * its caller loses one way and goes on elsewhere; begun and cut, it loses seconds, and it can't know
- * what has run.
+ * A request that arrives after the stop signal may outlast the grace period and have its response
+ * cut. Rejecting it as not run lets the caller retry on another gateway at once, instead of losing
+ * seconds without knowing whether the request ran.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 
-/** One stop, from the signal on. */
+/** The schedule of a graceful shutdown. */
 export interface StopPlan {
   startedAt: Milliseconds;
-  /** Every answer has ended by then; what is left of the grace goes into closing. */
+  /** When all responses have to be complete; the rest of the grace period is for closing. */
   lastAnswerAt: Milliseconds;
 }
 
-/** What is known of the time of a request. */
+/** Timing of a request. */
 export interface RequestTime {
-  /** Its final answer is due then, whatever becomes of it. */
+  /** Deadline of the final response, successful or not. */
   answerBy: Milliseconds;
-  /** What it will take once it is sent. */
+  /** Expected duration once the request is sent. */
   expectedMs: Milliseconds;
   isRepeatable: boolean;
 }
 
-/** Left of the grace for sending the last answers, closing connections and writing the last lines. */
-const CLOSING_MS: Milliseconds = 700;
+/** Part of the grace period reserved for flushing responses, closing connections and final logs. */
+const CLOSE_RESERVE_MS: Milliseconds = 700;
 /**
- * The balancer asks once a second and takes an instance out after two misses, so that it sends
- * nobody any more after this time.
+ * Time after which the load balancer sends no more requests: it probes once a second and removes an
+ * instance after two failed probes.
  */
-const BALANCER_OUT_MS: Milliseconds = 2_500;
+const BALANCER_REMOVAL_MS: Milliseconds = 2_500;
 /**
- * Multiples of the expected time that must be left. That already follows the slowest of the last
- * requests; a quarter more is for one that is slower than all of them.
+ * Multiple of the expected duration that must remain. The expected duration already reflects the
+ * slowest recent requests; the margin covers even slower ones.
  */
 const REPEATABLE_MARGIN = 1.25;
-/** More where a cut can't be made good by asking again. */
-const ONCE_MARGIN = 2;
+/** Larger margin for requests that can't be retried after a cut. */
+const NON_REPEATABLE_MARGIN = 2;
 
-/** A stop that begins now and has `graceMs` from the signal to the end of the process. */
+/** Plans a shutdown that starts now; the process exits within `graceMs`. */
 export function planStop(now: Milliseconds, graceMs: Milliseconds): StopPlan {
-  return { startedAt: now, lastAnswerAt: now + Math.max(0, graceMs - CLOSING_MS) };
+  return { startedAt: now, lastAnswerAt: now + Math.max(0, graceMs - CLOSE_RESERVE_MS) };
 }
 
 /**
- * The last moment at which the request may be begun.
+ * Returns the latest time at which the request may start.
  *
- * One whose answer is due before the last answers end is always finished in time. Any other is begun
- * by its expected time alone, and only while the balancer sends callers here: a caller that is
- * refused then may come back here, and one that is refused later certainly reaches another gateway.
+ * A request that is due before `lastAnswerAt` always completes in time. Any other starts only if its
+ * expected duration fits, and only while the load balancer still sends requests here: until then, a
+ * rejected caller may be sent back here; later it always reaches another gateway.
  */
 export function latestBeginning(
   { startedAt, lastAnswerAt }: StopPlan,
   { answerBy, expectedMs, isRepeatable }: RequestTime,
 ): Milliseconds {
   if (answerBy <= lastAnswerAt) return lastAnswerAt;
-  const margin = isRepeatable ? REPEATABLE_MARGIN : ONCE_MARGIN;
-  return Math.min(startedAt + BALANCER_OUT_MS, lastAnswerAt - margin * expectedMs);
+  const margin = isRepeatable ? REPEATABLE_MARGIN : NON_REPEATABLE_MARGIN;
+  return Math.min(startedAt + BALANCER_REMOVAL_MS, lastAnswerAt - margin * expectedMs);
 }
--- a/src/controllers/forwarding/suspicion.ts
+++ b/src/controllers/forwarding/suspicion.ts
@@ -1,47 +1,50 @@
 /**
- * Which backend servers get no new requests because nothing moves there.
+ * Tracks backend servers that get no new requests because they are suspected of being stalled.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 
-/** Evidence that a backend server does not answer. */
+/** A suspicion that a backend server is stalled. */
 export interface Suspicion {
   server: string;
-  /** When it was found; of this process's clock. */
+  /** When the stall was detected, by this process's clock. */
   since: Milliseconds;
-  /** When it lapses unless it is found again. */
+  /** When the suspicion expires. */
   until: Milliseconds;
-  /** Times in a row that it was found. */
+  /** Number of consecutive detections. */
   count: number;
-  /** Found here, and not told by a peer: only these are told on, or they would never lapse. */
+  /** Detected here, not reported by a peer. Only these are gossiped; others would never expire. */
   own: boolean;
 }
 
-/** First stay out of service; it doubles with each finding in a row. */
-const FIRST_STAY_MS: Milliseconds = 1_500;
-/** A stalled replica is given up by its own head after a few seconds; longer stays serve nobody. */
-const LONGEST_STAY_MS: Milliseconds = 6_000;
-/** A finding this long after the last stay counts as the first again. */
-const FORGET_AFTER_MS: Milliseconds = 10_000;
+/** Duration of the first suspicion; doubles with each consecutive detection. */
+const INITIAL_SUSPICION_MS: Milliseconds = 1_500;
+/** Maximum duration; the head of a stalled replica gives it up within a few seconds itself. */
+const MAX_SUSPICION_MS: Milliseconds = 6_000;
+/** Time after the last suspicion's expiry at which the count restarts. */
+const COUNT_RESET_MS: Milliseconds = 10_000;
 
-/** The suspicions of one entry, its own and those that peers told. Changed in place, owned by one shell. */
+/** Suspicions detected here and those reported by peers. Mutable; has a single owner. */
 export class SuspicionTable {
   private readonly entries = new Map<string, Suspicion>();
 
-  /** Records a finding; true when the server was not under suspicion before. */
+  /** Records a detection; returns true when the server was not suspected before. */
   suspect(server: string, now: Milliseconds): boolean {
     const known = this.entries.get(server);
     if (known && now < known.until) return false;
-    const isRecent = known !== undefined && now - known.until < FORGET_AFTER_MS;
+    const isRecent = known !== undefined && now - known.until < COUNT_RESET_MS;
     const count = isRecent ? known.count + 1 : 1;
-    const stay = Math.min(LONGEST_STAY_MS, FIRST_STAY_MS * 2 ** (count - 1));
-    this.entries.set(server, { server, since: now, until: now + stay, count, own: true });
+    const durationMs = Math.min(MAX_SUSPICION_MS, INITIAL_SUSPICION_MS * 2 ** (count - 1));
+    this.entries.set(server, { server, since: now, until: now + durationMs, count, own: true });
     return true;
   }
 
-  /** A peer found it `ageMs` ago and keeps it out of service for `leftMs` more. */
+  /**
+   * Records a suspicion of a peer, detected `ageMs` ago and in force for `leftMs` more; returns true
+   * when the server was not suspected before.
+   */
   learn(server: string, ageMs: Milliseconds, leftMs: Milliseconds, now: Milliseconds): boolean {
     const known = this.entries.get(server);
-    const until = now + Math.min(leftMs, LONGEST_STAY_MS);
+    const until = now + Math.min(leftMs, MAX_SUSPICION_MS);
     if (known && known.until >= until) return false;
     const isNew = known === undefined || now >= known.until;
     this.entries.set(server, {
@@ -54,7 +57,7 @@
     return isNew;
   }
 
-  /** The server answered: true when that ends a suspicion. */
+  /** Clears the server after a response; returns true when a suspicion was in force. */
   clear(server: string, now: Milliseconds): boolean {
     const known = this.entries.get(server);
     if (known === undefined) return false;
@@ -72,7 +75,7 @@
     return [...this.entries.values()].filter(({ until }) => now < until);
   }
 
-  /** Suspicions in force that were found here. */
+  /** Suspicions in force that were detected here. */
   listOwn(now: Milliseconds): Suspicion[] {
     return this.listAll(now).filter(({ own }) => own);
   }
--- a/src/controllers/forwarding/target-sampling.ts
+++ b/src/controllers/forwarding/target-sampling.ts
@@ -1,52 +1,57 @@
 /**
- * Which targets are compared for one request when what is known of them is late.
+ * Samples the targets that are compared for one request (power of two choices).
  *
- * Pattern: in a large fleet the news of what others have under way come over hubs and are about as old
- * as a request lasts. Where each gateway compares all targets, all of them find the same one to have
- * the least and send there until the next news, and its queue makes most answers late while the others
- * stand idle. Of two targets drawn at random the better one is nearly as good as the best of all with
- * fresh news, gateways that know the same choose differently, and a choice costs the same whatever the
- * number of targets.
+ * In a large fleet, load reports arrive late. If every gateway compared all targets, all would send
+ * to the same least loaded one until the next report and overload it. The better of two random
+ * targets is nearly as good, spreads the load, and costs the same for any number of targets.
  */
 import type { Random } from '../../core/random/index.js';
 import type { Target, TargetList } from './directory.js';
 
-/** Drawn of those in the own failure domain, and as many of all others. */
-const DRAWN = 2;
-/** Draws for each one wanted: a target may come twice, or may not be chosen now. */
-const TRIES_EACH = 3;
+/** Targets sampled from the own failure domain, and again from all others. */
+const SAMPLES_PER_GROUP = 2;
+/** Random draws per wanted sample; a draw may hit a duplicate or an unavailable target. */
+const TRIES_PER_SAMPLE = 3;
 
-/** What is known of a target that can be chosen; undefined when it can't. */
-export type TargetReview<State> = (target: Target) => State | undefined;
+/** Returns the state of a target, or undefined when the target is unavailable. */
+export type TargetEvaluator<State> = (target: Target) => State | undefined;
 
-/** All that can be chosen. */
-export function reviewAll<State>({ near, far }: TargetList, review: TargetReview<State>): State[] {
-  return [...near, ...far].flatMap((target) => review(target) ?? []);
+/** Evaluates all targets and returns the states of the available ones. */
+export function reviewAll<State>(
+  { near, far }: TargetList,
+  evaluate: TargetEvaluator<State>,
+): State[] {
+  return [...near, ...far].flatMap((target) => evaluate(target) ?? []);
 }
 
-/** Some of those that can be chosen, drawn at random; all of them when none was hit. */
+/** Evaluates a random sample of targets; falls back to all targets when the sample is empty. */
 export function drawTargets<State>(
   targets: TargetList,
-  review: TargetReview<State>,
+  evaluate: TargetEvaluator<State>,
   random: Random,
 ): State[] {
   const { near, far } = targets;
-  const drawn = [...drawSome(near, review, random), ...drawSome(far, review, random)];
-  return drawn.length > 0 ? drawn : reviewAll(targets, review);
+  const sampled = [...sampleGroup(near, evaluate, random), ...sampleGroup(far, evaluate, random)];
+  return sampled.length > 0 ? sampled : reviewAll(targets, evaluate);
 }
 
-function drawSome<State>(
+function sampleGroup<State>(
   targets: readonly Target[],
-  review: TargetReview<State>,
+  evaluate: TargetEvaluator<State>,
   random: Random,
 ): State[] {
-  if (targets.length <= DRAWN) return targets.flatMap((target) => review(target) ?? []);
-  const drawn = new Map<Target, State>();
-  for (let tries = DRAWN * TRIES_EACH; tries > 0 && drawn.size < DRAWN; tries -= 1) {
+  if (targets.length <= SAMPLES_PER_GROUP)
+    return targets.flatMap((target) => evaluate(target) ?? []);
+  const sampled = new Map<Target, State>();
+  for (
+    let tries = SAMPLES_PER_GROUP * TRIES_PER_SAMPLE;
+    tries > 0 && sampled.size < SAMPLES_PER_GROUP;
+    tries -= 1
+  ) {
     const target = targets[random.below(targets.length)];
-    if (target === undefined || drawn.has(target)) continue;
-    const state = review(target);
-    if (state !== undefined) drawn.set(target, state);
+    if (target === undefined || sampled.has(target)) continue;
+    const state = evaluate(target);
+    if (state !== undefined) sampled.set(target, state);
   }
-  return [...drawn.values()];
+  return [...sampled.values()];
 }
