--- a/src/controllers/forwarding/suspicion.ts
+++ b/src/controllers/forwarding/suspicion.ts
@@ -13,7 +13,7 @@
   /** Number of consecutive detections. */
   count: number;
   /** Detected here, not reported by a peer. Only these are gossiped; others would never expire. */
-  own: boolean;
+  isLocal: boolean;
 }
 
 /** Duration of the first suspicion; doubles with each consecutive detection. */
@@ -34,7 +34,7 @@
     const isRecent = known !== undefined && now - known.until < COUNT_RESET_MS;
     const count = isRecent ? known.count + 1 : 1;
     const durationMs = Math.min(MAX_SUSPICION_MS, INITIAL_SUSPICION_MS * 2 ** (count - 1));
-    this.entries.set(server, { server, since: now, until: now + durationMs, count, own: true });
+    this.entries.set(server, { server, since: now, until: now + durationMs, count, isLocal: true });
     return true;
   }
 
@@ -52,7 +52,7 @@
       since: now - ageMs,
       until,
       count: known?.count ?? 1,
-      own: false,
+      isLocal: false,
     });
     return isNew;
   }
@@ -77,6 +77,6 @@
 
   /** Suspicions in force that were detected here. */
   listOwn(now: Milliseconds): Suspicion[] {
-    return this.listAll(now).filter(({ own }) => own);
+    return this.listAll(now).filter(({ isLocal }) => isLocal);
   }
 }
