--- a/features/requests/attempts.steps.ts
+++ b/features/requests/attempts.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of the properties of the attempt state machine.
+ * Steps for the properties of the attempt state machine and of the metrics.
  */
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
@@ -13,27 +13,27 @@
 import { concludeFailure, createFailure } from '../../src/core/errors/index.js';
 import { createMetrics } from '../../src/core/metrics/index.js';
 
-/** What one played order of events brought. */
-interface Played {
+/** The observed result of playing one sequence of events. */
+interface PlaybackResult {
   text: string;
-  finals: number;
-  /** Tokens of the whole answer by the engine's count; absent when it was not finished. */
+  finalActions: number;
+  /** Token count reported by the engine; undefined when the response was not finished. */
   countedTokens: number | undefined;
   actionsAfterFinal: number;
   saidNotRun: boolean;
   mayHaveRun: boolean;
-  /** Attempts under way when the request was given up or their stream was broken off. */
+  /** Attempts in progress when the request was abandoned or their stream was aborted. */
   abandoned: string[];
   cancelled: string[];
 }
 
 interface PropertyWorld {
-  played: Played[];
+  results: PlaybackResult[];
   exposition: string;
 }
 
-/** An attempt of someone else's request. */
-const FOREIGN = 'foreign';
+/** An attempt of another request. */
+const FOREIGN_ATTEMPT = 'foreign';
 const ANSWER = ['a', 'b', 'c', 'd', 'e'];
 const SEED = 20_260_101;
 
@@ -46,8 +46,8 @@
   createFailure('outcomeUnknown', { reason: 'lost' }),
 );
 
-/** Whose chunk it is; the stream that it comes on may be another's. */
-const sender = fc.constantFrom('t1', 't2', 't3', FOREIGN);
+/** The attempt that a chunk belongs to; it may arrive on the stream of another attempt. */
+const sender = fc.constantFrom('t1', 't2', 't3', FOREIGN_ATTEMPT);
 const tokenOffset = fc.integer({ min: 0, max: ANSWER.length - 1 });
 const chunk = fc.oneof(
   { weight: 8, arbitrary: fc.record({ attempt: sender, sequence: tokenOffset }).map(createToken) },
@@ -95,36 +95,38 @@
   fc.constant<AttemptEvent>({ kind: 'deadline' }),
 );
 
-/** A run of tokens in order, so that whole answers come up often enough. */
-const run = fc.tuple(attempt, offset, fc.boolean()).map(([name, from, ended]): AttemptEvent[] => {
-  const tokens = ANSWER.slice(from).map((_, index) =>
-    createToken({ attempt: name, sequence: from + index }),
-  );
-  const mark = {
-    kind: 'end' as const,
-    attempt: name,
-    sequence: ANSWER.length,
-    reason: 'stop' as const,
-    promptTokens: 1,
-    cachedTokens: 0,
-  };
-  const chunks = ended ? [...tokens, mark] : tokens;
-  return [
-    { kind: 'sent', attempt: name },
-    ...chunks.map((one) => ({ kind: 'chunk' as const, attempt: name, chunk: one })),
-  ];
-});
+/** Tokens in order, so that complete responses occur often enough. */
+const tokenRun = fc
+  .tuple(attempt, offset, fc.boolean())
+  .map(([name, from, ended]): AttemptEvent[] => {
+    const tokens = ANSWER.slice(from).map((_, index) =>
+      createToken({ attempt: name, sequence: from + index }),
+    );
+    const endChunk = {
+      kind: 'end' as const,
+      attempt: name,
+      sequence: ANSWER.length,
+      reason: 'stop' as const,
+      promptTokens: 1,
+      cachedTokens: 0,
+    };
+    const chunks = ended ? [...tokens, endChunk] : tokens;
+    return [
+      { kind: 'sent', attempt: name },
+      ...chunks.map((one) => ({ kind: 'chunk' as const, attempt: name, chunk: one })),
+    ];
+  });
 
-const order = fc
-  .array(fc.oneof({ weight: 4, arbitrary: event.map((one) => [one]) }, run), { maxLength: 24 })
+const eventSequence = fc
+  .array(fc.oneof({ weight: 4, arbitrary: event.map((one) => [one]) }, tokenRun), { maxLength: 24 })
   .map((parts) => parts.flat());
 
 When(
   '{int} random orders of attempt events are played',
   function (this: PropertyWorld, count: number) {
-    this.played = fc.sample(order, { numRuns: count, seed: SEED }).map(play);
-    const finished = this.played.filter((one) => one.countedTokens !== undefined).length;
-    const failed = this.played.filter((one) => one.finals > 0).length - finished;
+    this.results = fc.sample(eventSequence, { numRuns: count, seed: SEED }).map(playEvents);
+    const finished = this.results.filter((result) => result.countedTokens !== undefined).length;
+    const failed = this.results.filter((result) => result.finalActions > 0).length - finished;
     assert.ok(
       finished > count / 50 && failed > count / 50,
       `${finished} finished, ${failed} failed`,
@@ -135,9 +137,9 @@
 Then(
   'every request got at most one final answer and nothing after it',
   function (this: PropertyWorld) {
-    for (const one of this.played) {
-      assert.ok(one.finals <= 1);
-      assert.equal(one.actionsAfterFinal, 0);
+    for (const result of this.results) {
+      assert.ok(result.finalActions <= 1);
+      assert.equal(result.actionsAfterFinal, 0);
     }
   },
 );
@@ -145,26 +147,26 @@
 Then(
   'every relayed text is the start of the right answer, without holes or repeats',
   function (this: PropertyWorld) {
-    for (const { text } of this.played) assert.ok(ANSWER.join('').startsWith(text), text);
+    for (const { text } of this.results) assert.ok(ANSWER.join('').startsWith(text), text);
   },
 );
 
 Then('every finished answer is whole', function (this: PropertyWorld) {
-  const finished = this.played.filter((one) => one.countedTokens !== undefined);
+  const finished = this.results.filter((result) => result.countedTokens !== undefined);
   for (const { text, countedTokens } of finished) assert.equal(text.length, countedTokens);
 });
 
 Then(
   'no request of which an attempt may have run is told that it was not run',
   function (this: PropertyWorld) {
-    for (const one of this.played) assert.ok(!(one.saidNotRun && one.mayHaveRun));
+    for (const result of this.results) assert.ok(!(result.saidNotRun && result.mayHaveRun));
   },
 );
 
 Then(
   'every attempt that was given up while under way was cancelled',
   function (this: PropertyWorld) {
-    for (const one of this.played) assert.deepEqual(one.cancelled, one.abandoned);
+    for (const result of this.results) assert.deepEqual(result.cancelled, result.abandoned);
   },
 );
 
@@ -191,15 +193,19 @@
   sequence: number;
   text: string;
 } {
-  return { kind: 'token', ...at, text: at.attempt === FOREIGN ? '?' : (ANSWER[at.sequence] ?? '') };
+  return {
+    kind: 'token',
+    ...at,
+    text: at.attempt === FOREIGN_ATTEMPT ? '?' : (ANSWER[at.sequence] ?? ''),
+  };
 }
 
-/** Plays `events` and notes what the caller and the engines would have seen. */
-function play(events: readonly AttemptEvent[]): Played {
+/** Plays `events` and records what the caller and the engines would observe. */
+function playEvents(events: readonly AttemptEvent[]): PlaybackResult {
   const state = createAttemptState();
-  const played: Played = {
+  const result: PlaybackResult = {
     text: '',
-    finals: 0,
+    finalActions: 0,
     countedTokens: undefined,
     actionsAfterFinal: 0,
     saidNotRun: false,
@@ -207,30 +213,31 @@
     abandoned: [],
     cancelled: [],
   };
-  for (const one of events) {
-    const underWay = state.attempt;
-    const isOver = played.finals > 0;
-    const actions = advanceAttempt(state, one);
-    if (isOver) played.actionsAfterFinal += actions.length;
-    noteMayHaveRun(played, one, underWay, state.attempt);
-    if (underWay !== undefined && isAbandoned(one, actions)) played.abandoned.push(underWay);
-    for (const action of actions) note(played, action);
+  for (const event of events) {
+    const previousAttempt = state.attempt;
+    const hasFinished = result.finalActions > 0;
+    const actions = advanceAttempt(state, event);
+    if (hasFinished) result.actionsAfterFinal += actions.length;
+    recordMayHaveRun(result, event, previousAttempt, state.attempt);
+    if (previousAttempt !== undefined && isAbandoned(event, actions))
+      result.abandoned.push(previousAttempt);
+    for (const action of actions) recordAction(result, action);
   }
-  return played;
+  return result;
 }
 
-/** An attempt that left the state without proof of not having started may have run. */
-function noteMayHaveRun(
-  played: Played,
+/** An attempt that ended without proof that it did not start may have run. */
+function recordMayHaveRun(
+  result: PlaybackResult,
   event: AttemptEvent,
-  before: string | undefined,
-  after: string | undefined,
+  previousAttempt: string | undefined,
+  currentAttempt: string | undefined,
 ): void {
-  if (before === undefined || before === after) return;
+  if (previousAttempt === undefined || previousAttempt === currentAttempt) return;
   if (event.kind === 'ended' && (event.end.kind === 'notSent' || event.end.kind === 'refused'))
     return;
   if (event.kind === 'refused') return;
-  played.mayHaveRun = true;
+  result.mayHaveRun = true;
 }
 
 /** Whether the engine may still be running the attempt that `event` took out of the state. */
@@ -240,23 +247,23 @@
   return event.kind === 'chunk' && actions.some(({ kind }) => kind === 'decide');
 }
 
-function note(played: Played, action: AttemptAction): void {
+function recordAction(result: PlaybackResult, action: AttemptAction): void {
   switch (action.kind) {
     case 'relay':
-      played.text += action.text;
+      result.text += action.text;
       return;
     case 'finish':
-      played.finals += 1;
-      played.countedTokens = action.tokens.completion;
+      result.finalActions += 1;
+      result.countedTokens = action.tokens.completion;
       return;
     case 'fail': {
-      played.finals += 1;
+      result.finalActions += 1;
       const conclusion = concludeFailure(action.failure);
-      played.saidNotRun = conclusion === 'notRun' || conclusion === 'refused';
+      result.saidNotRun = conclusion === 'notRun' || conclusion === 'refused';
       return;
     }
     case 'cancel':
-      played.cancelled.push(action.attempt);
+      result.cancelled.push(action.attempt);
       return;
     case 'decide':
     case 'ask':
--- a/src/controllers/attempts/call-handling.ts
+++ b/src/controllers/attempts/call-handling.ts
@@ -1,22 +1,23 @@
 /**
- * How a call to a plain service may be treated: sent again, run at most once under a key, or sent
- * a single time.
+ * Resolves how a call to a plain service is handled: retried, run at most once per idempotency key,
+ * or sent a single time.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import type { CallRule } from '../../objects/index.js';
 
-/** What the first matching rule says of a call. */
+/** The handling that a service's rules assign to a call. */
 export type CallHandling = CallRule['handling'];
 
 const REPEATABLE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS']);
 
 /**
- * How a call of `method` to `path` (without query) is handled under a service's rules.
+ * Resolves the handling of a call with `method` to `path` (without query): the first matching rule
+ * applies, otherwise only safe methods are repeatable.
  *
- * Rules are matched against the decoded path with repeated slashes collapsed. A backend server
- * that reads `/check%2Din` or `//check-in` as `/check-in` would otherwise run under a laxer rule
- * what the operator declared to run once. A path that can't be decoded is refused.
+ * Rules are matched against the decoded path with repeated slashes collapsed. Otherwise `/check%2Din`
+ * or `//check-in`, which a backend server may treat as `/check-in`, would bypass its rule. Paths
+ * that can't be decoded or contain dot segments are rejected.
  *
  * @example resolveCallHandling([], 'POST', '/check-ins') // ok('single')
  */
@@ -43,7 +44,7 @@
     const decoded = decodeURIComponent(path).replace(/\/{2,}/g, '/');
     if (!/(^|\/)\.{1,2}(\/|$)/.test(decoded)) return ok(decoded);
   } catch {
-    // Malformed percent encoding; the same answer as for a path that leaves its prefix.
+    // Malformed percent encoding is rejected like a path with dot segments.
   }
   return err(createFailure('invalidRequest', { reason: 'the path is malformed' }));
 }
--- a/src/controllers/attempts/callers.ts
+++ b/src/controllers/attempts/callers.ts
@@ -1,5 +1,5 @@
 /**
- * Who a caller is and what it may ask for: workspace, class, deadline, models and services.
+ * Identifies callers and authorizes their requests: workspace, class, deadline, models and services.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { Configuration } from '../../board/index.js';
@@ -14,18 +14,18 @@
   type Workspace,
 } from '../../objects/index.js';
 
-/** What a request's headers say of its caller. */
+/** Caller information from the request headers. */
 export interface Credentials {
   /** SHA-256 of the bearer key, in hexadecimal. */
   keyHash?: string;
-  /** Only from a balancer that is trusted to set it; it goes before the key. */
+  /** Set only by a trusted load balancer; takes precedence over the key. */
   workspace?: string;
   class?: string;
-  /** Relative, in milliseconds, as the caller wrote it. */
+  /** Relative deadline in milliseconds, as sent by the caller. */
   deadline?: string;
 }
 
-/** A caller whose request may be looked at. */
+/** An identified caller with the class and deadline of its request. */
 export interface Caller {
   workspace: string;
   class: RequestClass;
@@ -36,7 +36,7 @@
 const POSITIVE_DECIMAL = /^\d{1,10}(\.\d{1,3})?$/;
 
 /**
- * The caller behind `credentials` for a request that arrived at `now`, or why it is refused.
+ * Resolves the caller of a request that arrived at `now`, or the failure with which it is rejected.
  *
  * @example resolveCaller(board.configuration.read(), { keyHash }, clock.now())
  */
@@ -48,15 +48,15 @@
   const workspace = findWorkspace(configuration, credentials);
   if (workspace === undefined) return err(createFailure('workspaceUnknown'));
   return resolveClass(configuration, workspace, credentials.class).andThen((requestClass) =>
-    resolveDeadline(configuration, requestClass, credentials.deadline).map((span) => ({
+    resolveDeadline(configuration, requestClass, credentials.deadline).map((deadlineMs) => ({
       workspace,
       class: requestClass,
-      deadlineAt: now + span,
+      deadlineAt: now + deadlineMs,
     })),
   );
 }
 
-/** The model, when there is one of that name that the workspace may use. */
+/** Returns the named model, or a failure if it is unknown or the workspace may not use it. */
 export function resolveModel(
   configuration: Configuration,
   workspace: string,
@@ -68,7 +68,7 @@
   return err(createFailure('notAllowed', { name: workspace, what: `model "${name}"` }));
 }
 
-/** The service, when there is one of that name that the workspace may use. */
+/** Returns the named service, or a failure if it is unknown or the workspace may not use it. */
 export function resolveService(
   configuration: Configuration,
   workspace: string,
@@ -80,7 +80,7 @@
   return err(createFailure('notAllowed', { name: workspace, what: `service "${name}"` }));
 }
 
-/** Names of the models that the workspace may use, in alphabetical order. */
+/** Returns the names of the models that the workspace may use, sorted alphabetically. */
 export function listModels(configuration: Configuration, workspace: string): readonly string[] {
   return [...configuration.models]
     .filter(([, model]) => isAllowed(configuration, workspace, model.value))
@@ -116,12 +116,12 @@
 function resolveClass(
   { workspaces }: Configuration,
   workspace: string,
-  wanted = DEFAULT_CLASS,
+  requested = DEFAULT_CLASS,
 ): Result<RequestClass, Failure> {
-  const parsed = requestClassSchema.safeParse(wanted);
+  const parsed = requestClassSchema.safeParse(requested);
   if (!parsed.success) {
-    const known = requestClassSchema.options.join(', ');
-    return err(createFailure('invalidRequest', { reason: `the class is none of ${known}` }));
+    const supported = requestClassSchema.options.join(', ');
+    return err(createFailure('invalidRequest', { reason: `the class is none of ${supported}` }));
   }
   if (workspaces.get(workspace)?.value.classes.includes(parsed.data)) return ok(parsed.data);
   return err(createFailure('notAllowed', { name: workspace, what: `class "${parsed.data}"` }));
@@ -130,12 +130,12 @@
 function resolveDeadline(
   { policy }: Configuration,
   requestClass: RequestClass,
-  wanted: string | undefined,
+  requested: string | undefined,
 ): Result<Milliseconds, Failure> {
-  const longest = policy.classes[requestClass].deadlineMs;
-  if (wanted === undefined) return ok(longest);
-  const span = POSITIVE_DECIMAL.test(wanted) ? Number(wanted) : 0;
-  if (span > 0) return ok(Math.min(span, longest));
+  const maxDeadlineMs = policy.classes[requestClass].deadlineMs;
+  if (requested === undefined) return ok(maxDeadlineMs);
+  const deadlineMs = POSITIVE_DECIMAL.test(requested) ? Number(requested) : 0;
+  if (deadlineMs > 0) return ok(Math.min(deadlineMs, maxDeadlineMs));
   const reason = 'the deadline is not a positive number of milliseconds';
   return err(createFailure('invalidRequest', { reason }));
 }
--- a/src/controllers/attempts/conclusion.ts
+++ b/src/controllers/attempts/conclusion.ts
@@ -1,20 +1,20 @@
 /**
- * What a caller is told of a request that fails, given what may have happened to it before.
+ * Determines the failure that a caller receives, given the earlier attempts of its request.
  */
 import { concludeFailure, createFailure, type Failure } from '../../core/errors/index.js';
 
-/** What is known of a request's earlier attempts. */
+/** Outcome of a request's earlier attempts. */
 export interface RequestHistory {
   /** An attempt may have run. */
   mayHaveRun: boolean;
-  /** Tokens or bytes of the answer that the caller has. */
+  /** Tokens or bytes of the response already delivered to the caller. */
   delivered: number;
 }
 
 /**
- * `failure`, or the kind that holds in spite of it. The last attempt was perhaps refused while an
- * earlier one was lost on its way back: "not run" would make the caller take the first run for
- * none. And once a part of the answer is out, all that counts is that it is not whole.
+ * Returns `failure`, or the kind that also covers earlier attempts. When the last attempt was refused
+ * but an earlier one may have run, "not run" would be false. Once part of the response is delivered,
+ * every failure except a disconnected caller becomes a cut response.
  *
  * @example concludeRequest(createFailure('stopping'), { mayHaveRun: true, delivered: 0 }).kind // 'outcomeUnknown'
  */
--- a/src/controllers/attempts/state.ts
+++ b/src/controllers/attempts/state.ts
@@ -1,12 +1,12 @@
 /**
- * One completion over its attempts: which tokens the caller gets, and its one final answer.
+ * State machine of one completion across its attempts.
  *
- * The rules that hold in every order of events:
+ * Invariants, in any order of events:
  *
- * - Tokens are relayed in order, each once. Chunks of an attempt that no longer counts, duplicates
- *   and whatever comes after the final answer are dropped.
- * - A gap, a chunk of another request or a missing end mark never becomes a whole answer: the
- *   attempt is cancelled and the retry decision says whether the rest is fetched elsewhere.
+ * - Tokens are relayed in order and exactly once. Chunks of an earlier attempt, duplicates and
+ *   anything after the final response are dropped.
+ * - A gap, a chunk of another request or a missing end chunk never results in a complete response:
+ *   the attempt is aborted, and the retry decision determines whether the rest is fetched elsewhere.
  * - There is exactly one `finish` or `fail`.
  * - Once an attempt may have run, no failure says "not run".
  */
@@ -16,13 +16,13 @@
 import { concludeRequest } from './conclusion.js';
 import type { AttemptAction, AttemptEvent, AttemptState } from './types.js';
 
-type EndMark = Extract<EngineChunk, { kind: 'end' }>;
-type Token = Extract<EngineChunk, { kind: 'token' }>;
+type EndChunk = Extract<EngineChunk, { kind: 'end' }>;
+type TokenChunk = Extract<EngineChunk, { kind: 'token' }>;
 
-const NOTHING: readonly AttemptAction[] = [];
+const NO_ACTIONS: readonly AttemptAction[] = [];
 
 /**
- * The state of a request that has not been sent yet.
+ * Creates the state of a request that has not been sent yet.
  *
  * @example const state = createAttemptState(); advanceAttempt(state, { kind: 'sent', attempt: 'a1' });
  */
@@ -36,60 +36,60 @@
   };
 }
 
-/** Applies `event` to `state` and says what to do. */
+/** Applies `event` to `state` and returns the actions to perform. */
 export function advanceAttempt(state: AttemptState, event: AttemptEvent): readonly AttemptAction[] {
-  if (state.phase === 'answered') return NOTHING;
+  if (state.phase === 'answered') return NO_ACTIONS;
   switch (event.kind) {
     case 'sent':
-      return beginAttempt(state, event.attempt);
+      return startAttempt(state, event.attempt);
     case 'chunk':
-      return event.attempt === state.attempt ? acceptChunk(state, event.chunk) : NOTHING;
+      return event.attempt === state.attempt ? acceptChunk(state, event.chunk) : NO_ACTIONS;
     case 'ended':
-      return event.attempt === state.attempt ? endAttempt(state, event.end, []) : NOTHING;
+      return event.attempt === state.attempt ? endAttempt(state, event.end, []) : NO_ACTIONS;
     case 'decided':
-      return state.phase === 'deciding' ? followDecision(state, event.decision) : NOTHING;
+      return state.phase === 'deciding' ? applyDecision(state, event.decision) : NO_ACTIONS;
     case 'refused':
       return failRequest(state, event.failure);
     case 'callerGone':
-      return giveUp(state, createFailure('callerGone'));
+      return abandonRequest(state, createFailure('callerGone'));
     case 'deadline':
-      return giveUp(state, createDeadlineFailure(state));
+      return abandonRequest(state, createDeadlineFailure(state));
   }
 }
 
-function beginAttempt(state: AttemptState, attempt: string): readonly AttemptAction[] {
-  if (state.phase !== 'waiting') return NOTHING;
+function startAttempt(state: AttemptState, attempt: string): readonly AttemptAction[] {
+  if (state.phase !== 'waiting') return NO_ACTIONS;
   state.phase = 'running';
   state.attempt = attempt;
   state.attempts += 1;
-  return NOTHING;
+  return NO_ACTIONS;
 }
 
 function acceptChunk(state: AttemptState, chunk: EngineChunk): readonly AttemptAction[] {
-  // A stream that carries another request's chunk can't be trusted any further: a mixed-up
-  // connection would show the caller someone else's answer. Nothing more of it is relayed.
-  if (chunk.attempt !== state.attempt) return breakOff(state, 'it carried another request');
+  // A chunk of another request means mixed-up connections; relaying more of this stream could leak
+  // another caller's response.
+  if (chunk.attempt !== state.attempt) return abortAttempt(state, 'it carried another request');
   switch (chunk.kind) {
     case 'token':
       return acceptToken(state, chunk);
     case 'end':
       return acceptEnd(state, chunk);
     case 'error':
-      return breakOff(state, chunk.reason);
+      return abortAttempt(state, chunk.reason);
   }
 }
 
-function acceptToken(state: AttemptState, token: Token): readonly AttemptAction[] {
-  if (token.sequence < state.delivered) return NOTHING;
-  if (token.sequence > state.delivered) return breakOff(state, 'tokens are missing');
+function acceptToken(state: AttemptState, token: TokenChunk): readonly AttemptAction[] {
+  if (token.sequence < state.delivered) return NO_ACTIONS;
+  if (token.sequence > state.delivered) return abortAttempt(state, 'tokens are missing');
   state.delivered += 1;
   return [{ kind: 'relay', text: token.text }];
 }
 
-function acceptEnd(state: AttemptState, end: EndMark): readonly AttemptAction[] {
-  // The end mark counts all tokens. Another count than the caller's means that some were lost on
-  // the way, which would show as a short answer that looks whole.
-  if (end.sequence !== state.delivered) return breakOff(state, 'tokens are missing at its end');
+function acceptEnd(state: AttemptState, end: EndChunk): readonly AttemptAction[] {
+  // The end chunk carries the token count. A mismatch means that tokens were lost, and the truncated
+  // response would look complete.
+  if (end.sequence !== state.delivered) return abortAttempt(state, 'tokens are missing at its end');
   state.phase = 'answered';
   state.attempt = undefined;
   const tokens = {
@@ -100,24 +100,24 @@
   return [{ kind: 'finish', reason: end.reason, tokens }];
 }
 
-function breakOff(state: AttemptState, reason: string): readonly AttemptAction[] {
-  const cancel = listCancels(state);
-  return endAttempt(state, { kind: 'cut', reason, received: state.delivered }, cancel);
+function abortAttempt(state: AttemptState, reason: string): readonly AttemptAction[] {
+  const cancels = createCancelActions(state);
+  return endAttempt(state, { kind: 'cut', reason, received: state.delivered }, cancels);
 }
 
 function endAttempt(
   state: AttemptState,
   end: AttemptEnd,
-  before: readonly AttemptAction[],
+  precedingActions: readonly AttemptAction[],
 ): readonly AttemptAction[] {
-  const cancels = end.kind === 'lost' ? listCancels(state) : before;
+  const cancels = end.kind === 'lost' ? createCancelActions(state) : precedingActions;
   state.phase = 'deciding';
   state.attempt = undefined;
   state.mayHaveRun ||= end.kind !== 'notSent' && end.kind !== 'refused';
   return [...cancels, { kind: 'decide', end }];
 }
 
-function followDecision(state: AttemptState, decision: RetryDecision): readonly AttemptAction[] {
+function applyDecision(state: AttemptState, decision: RetryDecision): readonly AttemptAction[] {
   switch (decision.kind) {
     case 'answer':
       return failRequest(state, decision.failure);
@@ -127,7 +127,7 @@
       return [
         {
           kind: 'ask',
-          // What the caller has is skipped whatever the decision says: a token is never shown twice.
+          // Always skips the delivered tokens, so that none is relayed twice.
           resumeFrom: state.delivered,
           exclude: decision.exclude,
           afterMs: decision.afterMs,
@@ -136,8 +136,8 @@
   }
 }
 
-function giveUp(state: AttemptState, failure: Failure): readonly AttemptAction[] {
-  const cancels = listCancels(state);
+function abandonRequest(state: AttemptState, failure: Failure): readonly AttemptAction[] {
+  const cancels = createCancelActions(state);
   state.mayHaveRun ||= state.attempt !== undefined;
   return [...cancels, ...failRequest(state, failure)];
 }
@@ -149,10 +149,10 @@
 }
 
 function createDeadlineFailure(state: AttemptState): Failure {
-  const started = state.mayHaveRun || state.attempt !== undefined;
-  return createFailure(started ? 'deadlineAfterStart' : 'deadlineBeforeStart');
+  const mayHaveStarted = state.mayHaveRun || state.attempt !== undefined;
+  return createFailure(mayHaveStarted ? 'deadlineAfterStart' : 'deadlineBeforeStart');
 }
 
-function listCancels(state: AttemptState): readonly AttemptAction[] {
-  return state.attempt === undefined ? NOTHING : [{ kind: 'cancel', attempt: state.attempt }];
+function createCancelActions(state: AttemptState): readonly AttemptAction[] {
+  return state.attempt === undefined ? NO_ACTIONS : [{ kind: 'cancel', attempt: state.attempt }];
 }
--- a/src/controllers/attempts/types.ts
+++ b/src/controllers/attempts/types.ts
@@ -1,56 +1,57 @@
 /**
- * The messages of one completion's state machine over its attempts.
+ * Events, actions and state of the state machine of one completion.
  */
 import type { EngineChunk } from '../../adapters/engines/protocol.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Failure } from '../../core/errors/index.js';
 import type { AttemptEnd, RetryDecision } from '../retries/types.js';
 
-/** What happened to the request or to one of its attempts. */
+/** An event of the request or of one of its attempts. */
 export type AttemptEvent =
-  /** The attempt is about to be sent; from here on bytes of it may reach the engine. */
+  /** The attempt is about to be sent; from now on its bytes may reach the engine. */
   | { kind: 'sent'; attempt: string }
-  /** `attempt` names the sending on whose stream the chunk arrived. */
+  /** A chunk arrived on the stream of `attempt`. */
   | { kind: 'chunk'; attempt: string; chunk: EngineChunk }
-  /** The attempt ended without a stream, or its stream ended without an end mark. */
+  /** The attempt ended without a stream, or its stream ended without an end chunk. */
   | { kind: 'ended'; attempt: string; end: AttemptEnd }
-  /** The answer to a `decide` action. */
+  /** The result of a `decide` action. */
   | { kind: 'decided'; decision: RetryDecision }
-  /** The dispatcher will not send the request, or the engine refuses it for good. */
+  /** The dispatcher won't send the request, or the engine refuses it permanently. */
   | { kind: 'refused'; failure: Failure }
   | { kind: 'callerGone' }
   | { kind: 'deadline' };
 
-/** What the shell has to do, in the order given. */
+/** An action for the caller of the state machine; actions are performed in order. */
 export type AttemptAction =
-  /** Hand the token to the caller. */
+  /** Relay the token to the caller. */
   | { kind: 'relay'; text: string }
-  /** The answer is whole. Final. */
+  /** The response is complete. Final. */
   | { kind: 'finish'; reason: 'stop' | 'length'; tokens: Tokens }
-  /** The request's only answer, or the end of a stream already begun. Final. */
+  /** Fail the request, or end its stream with an error if it has started. Final. */
   | { kind: 'fail'; failure: Failure }
-  /** Close the attempt's stream and have the engine forget it. */
+  /** Close the attempt's stream and cancel it at the engine. */
   | { kind: 'cancel'; attempt: string }
-  /** Ask the retry decision and report it as `decided`. */
+  /** Make the retry decision and report it as `decided`. */
   | { kind: 'decide'; end: AttemptEnd }
-  /** Offer the request to the dispatcher again, after `afterMs`. */
+  /** Hand the request to the dispatcher again after `afterMs`. */
   | { kind: 'ask'; resumeFrom: number; exclude: string; afterMs: Milliseconds };
 
-/** Tokens of a whole answer. */
+/** Token counts of a complete response. */
 export interface Tokens {
   prompt: number;
   cached: number;
   completion: number;
 }
 
-/** One completion over all its attempts. */
+/** The state of one completion across all its attempts. */
 export interface AttemptState {
   phase: 'waiting' | 'running' | 'deciding' | 'answered';
-  /** The attempt whose chunks count; absent while none is under way. */
+  /** The attempt in progress, whose chunks are accepted; undefined when there is none. */
   attempt: string | undefined;
+  /** Attempts started so far. */
   attempts: number;
-  /** Tokens that the caller has; also the offset of the next one. */
+  /** Tokens delivered to the caller; also the offset of the next one. */
   delivered: number;
-  /** An earlier attempt may have run: "not run" can no longer be said. */
+  /** Whether an earlier attempt may have run, so that "not run" would be false. */
   mayHaveRun: boolean;
 }
