--- a/src/controllers/retries/budget.ts
+++ b/src/controllers/retries/budget.ts
@@ -1,35 +1,34 @@
 /**
- * Retry budgets: how many retries a backend server and a workspace may cause.
+ * Retry budgets: token buckets that limit the retries per target and per workspace.
  *
- * Each request puts a fraction of a token into two buckets, its target's and its workspace's; each
- * retry takes a whole one out of both. Guards against retries that multiply an overload: without a
- * bound, callers that are refused once come back three times and keep the backend server down.
+ * Each request adds a fraction of a token to the buckets of its target and its workspace; each retry
+ * takes one token from both. Prevents retries from amplifying an overload.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 
-/** Retries earned by one request. */
+/** Tokens added to each bucket by one request. */
 const TOKENS_PER_REQUEST = 0.1;
-/** Retries that a quiet bucket earns in one second, so that a single failure can be retried. */
+/** Tokens added per second up to INITIAL_TOKENS, so that a single failure can always be retried. */
 const TOKENS_PER_SECOND = 0.2;
-const MOST_TOKENS = 20;
-const START_TOKENS = 3;
-/** Buckets kept; beyond it the one used least recently is dropped. */
+const MAX_TOKENS = 20;
+const INITIAL_TOKENS = 3;
+/** Maximum number of buckets per map; beyond it, the least recently used one is evicted. */
 const MAX_BUCKETS = 4_096;
 const MS_PER_SECOND = 1_000;
 
 interface Bucket {
   tokens: number;
-  filledAt: Milliseconds;
+  refilledAt: Milliseconds;
 }
 
-/** The memory of the retry decision: a plain object, changed in place and owned by one shell. */
+/** The buckets of the retry decision. Mutable; has a single owner. */
 export interface RetryState {
   targets: Map<string, Bucket>;
   workspaces: Map<string, Bucket>;
 }
 
 /**
- * Budgets that nothing has been drawn from.
+ * Creates empty state; each bucket is created on first use.
  *
  * @example const state = createRetryState();
  */
@@ -38,7 +37,7 @@
 }
 
 /**
- * Counts the first sending of a request, which earns part of a retry. Not called for retries.
+ * Credits the budgets for the first attempt of a request. Not called for retries.
  *
  * @example recordRequest(retryState, candidate.replica, 'gates', clock.now());
  */
@@ -48,58 +47,59 @@
   workspace: string,
   now: Milliseconds,
 ): void {
-  earn(openBucket(state.targets, target, now));
-  earn(openBucket(state.workspaces, workspace, now));
+  creditRequest(refillBucket(state.targets, target, now));
+  creditRequest(refillBucket(state.workspaces, workspace, now));
 }
 
-/** Takes one retry out of both budgets; `false`, and nothing taken, when either is spent. */
-export function drawRetry(
+/** Takes one retry from both budgets; returns `false` and takes nothing when either is exhausted. */
+export function takeRetry(
   state: RetryState,
   target: string,
   workspace: string,
   now: Milliseconds,
 ): boolean {
   const buckets = [
-    openBucket(state.targets, target, now),
-    openBucket(state.workspaces, workspace, now),
+    refillBucket(state.targets, target, now),
+    refillBucket(state.workspaces, workspace, now),
   ];
   if (buckets.some((bucket) => bucket.tokens < 1)) return false;
   for (const bucket of buckets) bucket.tokens -= 1;
   return true;
 }
 
-/** How long until both budgets hold a retry again, from their own earnings alone. */
+/** Time until both budgets hold a retry again without further requests. */
 export function budgetWaitMs(
   state: RetryState,
   target: string,
   workspace: string,
   now: Milliseconds,
 ): Milliseconds {
-  const least = Math.min(
-    openBucket(state.targets, target, now).tokens,
-    openBucket(state.workspaces, workspace, now).tokens,
+  const lowest = Math.min(
+    refillBucket(state.targets, target, now).tokens,
+    refillBucket(state.workspaces, workspace, now).tokens,
   );
-  return Math.ceil((Math.max(0, 1 - least) / TOKENS_PER_SECOND) * MS_PER_SECOND);
+  return Math.ceil((Math.max(0, 1 - lowest) / TOKENS_PER_SECOND) * MS_PER_SECOND);
 }
 
-function earn(bucket: Bucket): void {
-  bucket.tokens = Math.min(MOST_TOKENS, bucket.tokens + TOKENS_PER_REQUEST);
+function creditRequest(bucket: Bucket): void {
+  bucket.tokens = Math.min(MAX_TOKENS, bucket.tokens + TOKENS_PER_REQUEST);
 }
 
-function openBucket(buckets: Map<string, Bucket>, name: string, now: Milliseconds): Bucket {
-  const known = buckets.get(name);
-  const bucket = known ?? { tokens: START_TOKENS, filledAt: now };
-  const earned = (Math.max(0, now - bucket.filledAt) * TOKENS_PER_SECOND) / MS_PER_SECOND;
-  // Time alone fills up to the start; only requests earn more.
-  if (bucket.tokens < START_TOKENS) bucket.tokens = Math.min(START_TOKENS, bucket.tokens + earned);
-  bucket.filledAt = Math.max(now, bucket.filledAt);
+function refillBucket(buckets: Map<string, Bucket>, name: string, now: Milliseconds): Bucket {
+  const existing = buckets.get(name);
+  const bucket = existing ?? { tokens: INITIAL_TOKENS, refilledAt: now };
+  const earned = (Math.max(0, now - bucket.refilledAt) * TOKENS_PER_SECOND) / MS_PER_SECOND;
+  // Time refills the bucket only up to INITIAL_TOKENS; beyond that, only requests add tokens.
+  if (bucket.tokens < INITIAL_TOKENS)
+    bucket.tokens = Math.min(INITIAL_TOKENS, bucket.tokens + earned);
+  bucket.refilledAt = Math.max(now, bucket.refilledAt);
   buckets.delete(name);
   buckets.set(name, bucket);
-  dropOldest(buckets);
+  evictOldest(buckets);
   return bucket;
 }
 
-function dropOldest(buckets: Map<string, Bucket>): void {
+function evictOldest(buckets: Map<string, Bucket>): void {
   if (buckets.size <= MAX_BUCKETS) return;
   const [oldest] = buckets.keys();
   if (oldest !== undefined) buckets.delete(oldest);
--- a/src/controllers/retries/decide.ts
+++ b/src/controllers/retries/decide.ts
@@ -1,54 +1,53 @@
 /**
- * The retry decision: what follows when one attempt of a request ended badly.
+ * The retry decision after a failed attempt of a request.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import { concludeFailure, createFailure, type Failure } from '../../core/errors/index.js';
 import type { Random } from '../../core/random/index.js';
-import { budgetWaitMs, drawRetry, type RetryState } from './budget.js';
+import { budgetWaitMs, takeRetry, type RetryState } from './budget.js';
 import { concludeGivenUp } from './given-up.js';
 import type { AttemptEnd, RetryDecision, RetryQuestion } from './types.js';
 
-/** Attempts of one request at most, the first included. */
+/** Maximum attempts per request, including the first. */
 const MAX_ATTEMPTS = 4;
-/** Longest back-off before the second attempt; it doubles with each further one. */
+/** Maximum backoff before the second attempt; doubles with each further attempt. */
 const BASE_BACKOFF_MS = 25;
-const MOST_BACKOFF_MS = 2_000;
-/** A retry that would have less time than this is not made. */
-const LEAST_TIME_LEFT_MS = 20;
-/** `Retry-After` when a backend server refused without naming a time. */
-const REFUSED_RETRY_MS = 1_000;
+const MAX_BACKOFF_MS = 2_000;
+/** Minimum time that must remain for a retry before the deadline. */
+const MIN_TIME_LEFT_MS = 20;
+/** `Retry-After` when the backend server sent none. */
+const DEFAULT_RETRY_AFTER_MS = 1_000;
 
 /**
- * Decides between another attempt, a resume and the final answer, to be given at once.
+ * Decides between a retry, a resume and an immediate final response.
  *
- * Another attempt is made only when this one provably did not start or the request is repeatable,
- * within the budgets of the target and the workspace, after a full-jitter back-off, and never past
- * the deadline. A caller that has
- * part of the answer is only given the rest of the same one.
+ * A retry requires that the attempt did not run or that the request is repeatable or resumable. It is
+ * limited by the budgets of the target and the workspace, delayed by a backoff with full jitter, and
+ * never made past the deadline. A response that is partly delivered can only be resumed.
  *
- * @example const decision = decideRetry(state, question, clock.now(), random);
+ * @example const decision = decideRetry(state, context, clock.now(), random);
  */
 export function decideRetry(
   state: RetryState,
-  question: RetryQuestion,
+  context: RetryQuestion,
   now: Milliseconds,
   random: Random,
 ): RetryDecision {
-  if (now >= question.deadlineAt) return answer(question, deadlineFailure(question.end));
-  if (!mayFollow(question) || question.attempts >= MAX_ATTEMPTS) {
-    return answer(question, finalFailure(state, question, now));
+  if (now >= context.deadlineAt) return createAnswer(context, createDeadlineFailure(context.end));
+  if (!isRetryAllowed(context) || context.attempts >= MAX_ATTEMPTS) {
+    return createAnswer(context, createFinalFailure(state, context, now));
   }
-  const afterMs = backOff(question, random);
-  if (now + afterMs + LEAST_TIME_LEFT_MS > question.deadlineAt) {
-    return answer(question, finalFailure(state, question, now));
+  const afterMs = computeBackoff(context, random);
+  if (now + afterMs + MIN_TIME_LEFT_MS > context.deadlineAt) {
+    return createAnswer(context, createFinalFailure(state, context, now));
   }
-  if (!drawRetry(state, question.target, question.workspace, now)) {
-    return answer(question, finalFailure(state, question, now));
+  if (!takeRetry(state, context.target, context.workspace, now)) {
+    return createAnswer(context, createFinalFailure(state, context, now));
   }
-  return follow(question, afterMs);
+  return retryOrResume(context, afterMs);
 }
 
-/** Whether an attempt with this end may have run at the backend server. */
+/** Whether an attempt that ended this way may have run at the backend server. */
 export function mayHaveRun(end: AttemptEnd): boolean {
   switch (end.kind) {
     case 'notSent':
@@ -61,61 +60,61 @@
   }
 }
 
-function mayFollow(question: RetryQuestion): boolean {
-  if (receivedSoFar(question) > 0) return question.resumable;
-  switch (question.end.kind) {
+function isRetryAllowed(context: RetryQuestion): boolean {
+  if (receivedByCaller(context) > 0) return context.resumable;
+  switch (context.end.kind) {
     case 'notSent':
     case 'refused':
       return true;
     case 'lost':
     case 'failed':
-      return question.repeatable;
+      return context.repeatable;
     case 'cut':
-      return question.repeatable || question.resumable;
+      return context.repeatable || context.resumable;
   }
 }
 
-function follow(question: RetryQuestion, afterMs: Milliseconds): RetryDecision {
-  const from = receivedSoFar(question);
-  if (from > 0) return { kind: 'resume', afterMs, exclude: question.target, from };
-  return { kind: 'retry', afterMs, exclude: question.target };
+function retryOrResume(context: RetryQuestion, afterMs: Milliseconds): RetryDecision {
+  const from = receivedByCaller(context);
+  if (from > 0) return { kind: 'resume', afterMs, exclude: context.target, from };
+  return { kind: 'retry', afterMs, exclude: context.target };
 }
 
-/** What the caller has of the answer: an attempt that resumes adds to what earlier ones brought. */
-function receivedSoFar(question: RetryQuestion): number {
-  const now = question.end.kind === 'cut' ? question.end.received : 0;
-  return Math.max(now, question.received ?? 0);
+/** Amount of the response that the caller has, from this and all earlier attempts. */
+function receivedByCaller(context: RetryQuestion): number {
+  const fromThisAttempt = context.end.kind === 'cut' ? context.end.received : 0;
+  return Math.max(fromThisAttempt, context.received ?? 0);
 }
 
-/** Full jitter: anything from nothing to a bound that doubles with each attempt. */
-function backOff(question: RetryQuestion, random: Random): Milliseconds {
-  const doublings = Math.max(0, question.attempts - 1);
-  const bound = Math.min(MOST_BACKOFF_MS, BASE_BACKOFF_MS * 2 ** doublings);
-  return Math.floor(random.fraction() * bound);
+/** Full jitter: uniform between zero and a limit that doubles with each attempt. */
+function computeBackoff(context: RetryQuestion, random: Random): Milliseconds {
+  const doublings = Math.max(0, context.attempts - 1);
+  const maxBackoffMs = Math.min(MAX_BACKOFF_MS, BASE_BACKOFF_MS * 2 ** doublings);
+  return Math.floor(random.fraction() * maxBackoffMs);
 }
 
-function answer(question: RetryQuestion, failure: Failure): RetryDecision {
-  if (receivedSoFar(question) > 0 && concludeFailure(failure) !== 'failed') {
-    return { kind: 'answer', failure: createFailure('answerCut', { reason: question.end.reason }) };
+function createAnswer(context: RetryQuestion, failure: Failure): RetryDecision {
+  if (receivedByCaller(context) > 0 && concludeFailure(failure) !== 'failed') {
+    return { kind: 'answer', failure: createFailure('answerCut', { reason: context.end.reason }) };
   }
-  return { kind: 'answer', failure: concludeGivenUp(failure, question.mayHaveRun ?? false) };
+  return { kind: 'answer', failure: concludeGivenUp(failure, context.mayHaveRun ?? false) };
 }
 
-function deadlineFailure(end: AttemptEnd): Failure {
+function createDeadlineFailure(end: AttemptEnd): Failure {
   return createFailure(mayHaveRun(end) ? 'deadlineAfterStart' : 'deadlineBeforeStart');
 }
 
-function finalFailure(state: RetryState, question: RetryQuestion, now: Milliseconds): Failure {
-  const { end } = question;
-  const wait = budgetWaitMs(state, question.target, question.workspace, now);
+function createFinalFailure(state: RetryState, context: RetryQuestion, now: Milliseconds): Failure {
+  const { end } = context;
+  const waitMs = budgetWaitMs(state, context.target, context.workspace, now);
   switch (end.kind) {
     case 'notSent':
-      return createFailure('noCapacity', { name: question.target }, wait + REFUSED_RETRY_MS);
+      return createFailure('noCapacity', { name: context.target }, waitMs + DEFAULT_RETRY_AFTER_MS);
     case 'refused':
       return createFailure(
         'overloaded',
         { reason: end.reason },
-        Math.max(wait, end.retryAfterMs ?? REFUSED_RETRY_MS),
+        Math.max(waitMs, end.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS),
       );
     case 'lost':
       return createFailure('outcomeUnknown', { reason: end.reason });
--- a/src/controllers/retries/given-up.ts
+++ b/src/controllers/retries/given-up.ts
@@ -1,12 +1,11 @@
 /**
- * What a caller is told of a request that is given up after an earlier attempt.
+ * Determines the failure of a request that is given up after earlier attempts.
  */
 import { concludeFailure, createFailure, type Failure } from '../../core/errors/index.js';
 
 /**
- * `failure`, or its counterpart that does not say "not run" when an earlier attempt may have run.
- * Guards against a false "not run": the last attempt of a request may well not have been sent, and
- * its own end says so, while an earlier one was lost on the way back and did run.
+ * Returns `failure`, or a counterpart without "not run" when an earlier attempt may have run.
+ * Prevents a false "not run" when only the last attempt was never sent.
  *
  * @example concludeGivenUp(createFailure('noCapacity', { name: 'chat' }), true).kind // 'outcomeUnknown'
  */
--- a/src/controllers/retries/types.ts
+++ b/src/controllers/retries/types.ts
@@ -1,45 +1,45 @@
 /**
- * The messages of the retry decision: what follows when one attempt of a request ended badly.
+ * Inputs and results of the retry decision.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Failure } from '../../core/errors/index.js';
 
-/** How an attempt ended that brought no whole answer. */
+/** How an attempt without a complete response ended. */
 export type AttemptEnd =
   /** No byte can have reached the backend server. */
   | { kind: 'notSent'; reason: string }
-  /** The backend server refused before anything ran. */
+  /** The backend server refused the request before running any of it. */
   | { kind: 'refused'; reason: string; retryAfterMs?: Milliseconds }
-  /** Sent; the connection broke or timed out before any of the answer. */
+  /** Sent, but the connection broke or timed out before any part of the response arrived. */
   | { kind: 'lost'; reason: string }
-  /** The answer broke off after `received` tokens (completions) or bytes (services). */
+  /** The response was cut after `received` tokens (completions) or bytes (services). */
   | { kind: 'cut'; reason: string; received: number }
-  /** The backend server said that the run failed. */
+  /** The backend server reported that the run failed. */
   | { kind: 'failed'; reason: string };
 
-/** One request's history, as the retry decision needs it. */
+/** The request and its history, as input to the retry decision. */
 export interface RetryQuestion {
   end: AttemptEnd;
   /** The backend server or replica that the attempt went to. */
   target: string;
   workspace: string;
-  /** May be sent again though it may have run: declared repeatable, or a completion. */
+  /** Whether it may be sent again after it may have run: declared repeatable, or a completion. */
   repeatable: boolean;
-  /** A completion that can be resumed from an exact offset. */
+  /** Whether it is a completion that can be resumed from an exact offset. */
   resumable: boolean;
-  /** Attempts made so far, this one included. */
+  /** Attempts made so far, including the one that ended. */
   attempts: number;
   deadlineAt: Milliseconds;
-  /** An attempt before this one was sent and brought no refusal: it may have run. */
+  /** Whether an earlier attempt may have run: it was sent and not refused. */
   mayHaveRun?: boolean;
-  /** Tokens or bytes of the answer that the caller has by now, from all attempts; 0 when absent. */
+  /** Tokens or bytes delivered to the caller by all attempts; 0 when absent. */
   received?: number;
 }
 
 export type RetryDecision =
-  /** Choose anew, without `exclude`, after `afterMs`. */
+  /** Choose a new target other than `exclude` after `afterMs`. */
   | { kind: 'retry'; afterMs: Milliseconds; exclude: string }
-  /** The same, and skip what the caller has. */
+  /** Like `retry`, but resume at offset `from`, after what the caller already has. */
   | { kind: 'resume'; afterMs: Milliseconds; exclude: string; from: number }
-  /** The final answer, to be given at once. */
+  /** Fail the request immediately. */
   | { kind: 'answer'; failure: Failure };
