--- a/features/requests/answers.feature
+++ b/features/requests/answers.feature
@@ -11,8 +11,8 @@
     Then the answer in one piece is whole
 
   Scenario Outline: A stream with the fault <fault> is made whole elsewhere
-    # A volunteer watches an answer come in when its engine fails: it dies, loses or repeats tokens,
-    # or mixes in another caller's. What the volunteer reads must not show any of it.
+    # An engine dies, loses or repeats tokens, or mixes in those of another caller: none of it may
+    # reach the caller.
     Given the next completions of both replicas have the fault '<fault>'
     When a caller streams the completion "who may enter?"
     Then the streamed answer is whole
@@ -32,8 +32,7 @@
       | {"kind":"resetBeforeAnswer"}        |
 
   Scenario: Every attempt breaks off in mid-stream
-    # The engines die one after the other while the caller reads. The caller has a part of the
-    # answer by then and must be able to tell it from a whole one.
+    # A caller must be able to tell a partial answer from a whole one.
     Given all completions of both replicas break off after 3 tokens
     When a caller streams the completion "who may enter?"
     Then the streamed answer ends in one error event "answerCut" and no end mark
@@ -41,29 +40,27 @@
     Then the refusal is 502 "answerCut" with the conclusion "failed"
 
   Scenario: A caller hangs up in mid-stream
-    # A phone goes out of reach. The engine would go on generating for nobody and keep its place in
-    # the batch from a lorry that waits.
+    # The engine must not keep generating, and using a batch slot, for a disconnected caller.
     Given the next completions of both replicas have the fault '{"kind":"hang","after":3}'
     When a caller hangs up after the first token of "is slot 4 free?"
     Then the engine has ended the attempt as cancelled
     And nothing is in flight at the entry
 
   Scenario: Many callers at once
-    # Five hundred callers ask different questions in the same second. Each must read the answer to
-    # its own.
+    # Concurrent callers must not receive each other's answers.
     When 500 callers stream completions of their own at once
     Then each caller has the whole answer to its own question
 
   Scenario: An engine is cut off and the stream is resumed once it is back
-    # The only other replica is gone; the broken stream waits for its own to prove itself.
+    # With no other replica in service, the stream waits until its own is healthy again.
     Given only the first replica is in service
     And the next completions of both replicas have the fault '{"kind":"cutAfter","after":4}'
     When a caller streams the completion "who may enter?"
     Then the streamed answer is whole
 
   Scenario: An entry stops while an answer is streamed
-    # The platform replaces the entry. What it has accepted is finished; what comes after is told
-    # that it was not run, so that the balancer can take it elsewhere.
+    # Accepted requests are completed; later ones are refused as not run, so that the load balancer
+    # can send them elsewhere.
     When the entry begins to stop after the first token of "is slot 4 free?"
     Then the streamed answer is whole
     And a new completion is refused with 503 "stopping" and the conclusion "notRun"
--- a/features/requests/bad-input.ts
+++ b/features/requests/bad-input.ts
@@ -1,17 +1,17 @@
 /**
- * Requests that the entry has to refuse.
+ * Invalid requests that the entry must refuse.
  */
-import { call, sendRaw, type Received, type Sent } from './client.js';
+import { call, sendRaw, type ReceivedResponse, type RequestOptions } from './client.js';
 import { KEY, MAX_BODY_BYTES, MODEL } from './fixture.js';
 
 const COMPLETIONS = '/v1/chat/completions';
 const BODY = JSON.stringify({ model: MODEL, messages: [{ role: 'user', content: 'hi' }] });
 
-interface BadInput extends Sent {
+interface BadInput extends RequestOptions {
   path?: string;
 }
 
-const INPUTS: Readonly<Record<string, BadInput>> = {
+const BAD_INPUTS: Readonly<Record<string, BadInput>> = {
   'no key': { headers: { authorization: '' } },
   'a wrong key': { headers: { authorization: 'Bearer guess' } },
   'broken JSON': { body: BODY.slice(0, -1) },
@@ -35,17 +35,17 @@
   'a once-call without key': { path: '/services/gate/check-ins' },
 };
 
-/** Sends the request that a scenario names. */
-export function sendBadInput(address: string, name: string): Promise<Received> {
-  const input = INPUTS[name];
+/** Sends the bad input named in a scenario. */
+export function sendBadInput(address: string, name: string): Promise<ReceivedResponse> {
+  const input = BAD_INPUTS[name];
   if (!input) throw new Error(`no bad input "${name}"`);
-  if (name === 'a body that never ends') return sendUnended(address);
+  if (name === 'a body that never ends') return sendIncompleteBody(address);
   const { path = COMPLETIONS, ...sent } = input;
   return call(address, path, { method: 'POST', body: BODY, ...sent });
 }
 
-async function sendUnended(address: string): Promise<Received> {
-  const raw = await sendRaw(address, `${startRequest(['Content-Length: 900'])}{"model"`);
+async function sendIncompleteBody(address: string): Promise<ReceivedResponse> {
+  const raw = await sendRaw(address, `${renderRequestHead(['Content-Length: 900'])}{"model"`);
   const [head = '', body = ''] = raw.split('\r\n\r\n');
   return {
     status: Number(head.split(' ')[1]),
@@ -62,12 +62,15 @@
   'the same Content-Length twice': ['Content-Length: 5', 'Content-Length: 5'],
 };
 
-/** Sends a request with the framing that a scenario names. */
+/** Sends a request with the framing named in a scenario. */
 export function sendRawFraming(address: string, name: string): Promise<string> {
-  return sendRaw(address, `${startRequest(FRAMINGS[name] ?? [])}0\r\n\r\nGET /livez HTTP/1.1\r\n`);
+  return sendRaw(
+    address,
+    `${renderRequestHead(FRAMINGS[name] ?? [])}0\r\n\r\nGET /livez HTTP/1.1\r\n`,
+  );
 }
 
-function startRequest(fields: readonly string[]): string {
+function renderRequestHead(fields: readonly string[]): string {
   const lines = [`POST ${COMPLETIONS} HTTP/1.1`, 'Host: entry', `Authorization: Bearer ${KEY}`];
   return `${[...lines, ...fields].join('\r\n')}\r\n\r\n`;
 }
--- a/features/requests/client.ts
+++ b/features/requests/client.ts
@@ -1,77 +1,81 @@
 /**
- * A caller that notes everything it is sent, also of answers that break off.
+ * A test client that records complete and interrupted responses.
  */
 import { request as sendRequest, type IncomingHttpHeaders, type IncomingMessage } from 'node:http';
 import { connect } from 'node:net';
 import { KEY } from './fixture.js';
 
-/** What a caller got. */
-export interface Received {
+/** A response as received by the client. */
+export interface ReceivedResponse {
   status: number;
   headers: IncomingHttpHeaders;
   body: string;
-  /** Length of the body as it was received. */
+  /** Length of the received body. */
   bytes: number;
-  /** The connection was closed before the answer was whole. */
+  /** Whether the connection was closed before the response was complete. */
   broken: boolean;
 }
 
-export interface Sent {
+export interface RequestOptions {
   method?: string;
   headers?: Record<string, string | string[]>;
   body?: string | Buffer;
   signal?: AbortSignal;
-  /** Told each part of the body as it comes. */
-  onData?: (part: string) => void;
+  /** Called with each chunk of the body as it arrives. */
+  onData?: (chunk: string) => void;
 }
 
-/** Sends one request, with the key of workspace "market" unless `headers` name another. */
-export function call(address: string, path: string, sent: Sent = {}): Promise<Received> {
+/** Sends one request, with the key of workspace "market" unless `headers` contain another. */
+export function call(
+  address: string,
+  path: string,
+  options: RequestOptions = {},
+): Promise<ReceivedResponse> {
   const [host, port] = address.split(':');
-  const headers = { authorization: `Bearer ${KEY}`, ...sent.headers };
+  const headers = { authorization: `Bearer ${KEY}`, ...options.headers };
   return new Promise((resolve, reject) => {
     const outgoing = sendRequest(
-      { host, port, path, method: sent.method ?? 'GET', headers, signal: sent.signal },
-      (answer) => {
-        void collect(answer, sent.onData).then(resolve);
+      { host, port, path, method: options.method ?? 'GET', headers, signal: options.signal },
+      (response) => {
+        void collect(response, options.onData).then(resolve);
       },
     );
     outgoing.on('error', reject);
-    outgoing.end(sent.body);
+    outgoing.end(options.body);
   });
 }
 
 async function collect(
-  answer: IncomingMessage,
-  onData: (part: string) => void = () => undefined,
-): Promise<Received> {
-  const parts: Buffer[] = [];
+  response: IncomingMessage,
+  onData: (chunk: string) => void = () => undefined,
+): Promise<ReceivedResponse> {
+  const chunks: Buffer[] = [];
   let broken = false;
   try {
-    for await (const part of answer as AsyncIterable<Buffer>) {
-      parts.push(part);
-      onData(part.toString());
+    for await (const chunk of response as AsyncIterable<Buffer>) {
+      chunks.push(chunk);
+      onData(chunk.toString());
     }
   } catch {
     broken = true;
   }
-  const whole = Buffer.concat(parts);
+  const body = Buffer.concat(chunks);
   return {
-    status: answer.statusCode ?? 0,
-    headers: answer.headers,
-    body: whole.toString(),
-    bytes: whole.length,
+    status: response.statusCode ?? 0,
+    headers: response.headers,
+    body: body.toString(),
+    bytes: body.length,
     broken,
   };
 }
 
-/** Sends bytes as they are and returns all that comes back until the connection is closed. */
+/** Sends raw bytes and returns everything received until the connection is closed. */
 export function sendRaw(address: string, bytes: string): Promise<string> {
   const [host, port] = address.split(':');
   return new Promise((resolve, reject) => {
     const socket = connect(Number(port), host);
     let received = '';
-    socket.on('data', (part) => (received += part.toString()));
+    socket.on('data', (chunk) => (received += chunk.toString()));
     socket.on('close', () => {
       resolve(received);
     });
@@ -80,27 +84,27 @@
   });
 }
 
-/** The events of a completion's stream. */
-export interface ReadStream {
+/** The parsed events of a completion stream. */
+export interface ParsedStream {
   text: string;
   done: boolean;
   /** The data of `error` events. */
   errors: string[];
 }
 
-/** Reads a stream of chat completion chunks. */
-export function readStream(body: string): ReadStream {
-  const read: ReadStream = { text: '', done: false, errors: [] };
+/** Parses a stream of chat completion chunks. */
+export function parseStream(body: string): ParsedStream {
+  const parsed: ParsedStream = { text: '', done: false, errors: [] };
   for (const event of body.split('\n\n').filter(Boolean)) {
     const data = /^data: ?(.*)$/m.exec(event)?.[1] ?? '';
-    if (event.startsWith('event: error')) read.errors.push(data);
-    else if (data === '[DONE]') read.done = true;
-    else read.text += readDelta(data);
+    if (event.startsWith('event: error')) parsed.errors.push(data);
+    else if (data === '[DONE]') parsed.done = true;
+    else parsed.text += parseDelta(data);
   }
-  return read;
+  return parsed;
 }
 
-function readDelta(data: string): string {
+function parseDelta(data: string): string {
   const chunk = JSON.parse(data) as { choices: { delta: { content?: string } }[] };
   return chunk.choices[0]?.delta.content ?? '';
 }
--- a/features/requests/fixture.ts
+++ b/features/requests/fixture.ts
@@ -1,6 +1,6 @@
 /**
- * One entry's request path between real listeners: engines and services as stand-ins, the board
- * filled by hand where other parts would fill it.
+ * The request path of one entry with real listeners and stand-in engines and services. Board sections
+ * that other parts would write are filled by the fixture.
  */
 import { createHash } from 'node:crypto';
 import { createCallers, type Callers } from '../../src/adapters/callers/index.js';
@@ -35,11 +35,11 @@
 export const MAX_BODY_BYTES = 4_096;
 export const BODY_TIMEOUT_MS = 300;
 const UNUSED_ADDRESS = '127.0.0.1:0';
-const PLENTY = { requestsPerSecond: 1e6, tokensPerSecond: 1e9, concurrentRequests: 1e6 };
+const UNLIMITED = { requestsPerSecond: 1e6, tokensPerSecond: 1e9, concurrentRequests: 1e6 };
 const ENGINES = ['engine-1', 'engine-2'];
 const SERVICES = ['gate-1', 'gate-2'];
 
-/** An entry between its callers and its backend servers. */
+/** An entry with its backend servers and a listener for callers. */
 export class EntryFixture {
   readonly board: BoardWriters = createBoard();
   readonly engines: EngineStandIn[] = [];
@@ -106,7 +106,7 @@
     await this.health.stop();
     await this.requests.stop();
     await Promise.all([this.#client.close(), this.#services.close()]);
-    await Promise.all([...this.engines, ...this.services].map((one) => one.stop()));
+    await Promise.all([...this.engines, ...this.services].map((server) => server.stop()));
   }
 
   /** Takes every replica out of service. */
@@ -122,8 +122,8 @@
     return this.services.reduce((sum, service) => sum + service.journal().runCount, 0);
   }
 
-  writeFleet(listed: readonly { instance: string; address: string }[]): void {
-    const instances = listed.map(({ instance, address }) => {
+  writeFleet(servers: readonly { instance: string; address: string }[]): void {
+    const instances = servers.map(({ instance, address }) => {
       const isEngine = instance.startsWith('engine');
       const value = instanceSchema.parse({
         role: isEngine ? 'engine' : 'service',
@@ -137,9 +137,9 @@
     this.board.fleet.write({ revision: 1, instances: new Map(instances), leaving: new Set() });
   }
 
-  /** Changes the most that workspace "market" may use at this entry. */
-  writeShare(concurrentRequests: number): void {
-    this.board.limits.write(new Map([['market', { ...PLENTY, concurrentRequests }]]));
+  /** Sets the limit of concurrent requests of workspace "market" at this entry. */
+  writeLimits(concurrentRequests: number): void {
+    this.board.limits.write(new Map([['market', { ...UNLIMITED, concurrentRequests }]]));
   }
 
   writeConfiguration(): void {
@@ -168,7 +168,7 @@
       services: new Map([['gate', { version, value: gate }]]),
       workspaces: new Map([['market', { version, value: workspace }]]),
     });
-    this.writeShare(PLENTY.concurrentRequests);
+    this.writeLimits(UNLIMITED.concurrentRequests);
   }
 
   async formReplica({ instance, incarnation, address }: EngineStandIn): Promise<void> {
@@ -227,27 +227,27 @@
     clock: createSystemClock(),
     random: createRandom(7),
     logger: silentLogger,
-    // The request path makes no call of its own to the platform.
+    // The request path does not call the platform directly.
     platform: {} as Platform,
     engines,
   };
 }
 
-/** Keeps outcomes in memory, as the real one keeps them in the platform. */
+/** Stores outcomes in memory instead of in the platform. */
 function createOnceCallsFake(): OnceCalls {
   const stored = new Map<string, OnceOutcome>();
   return {
     run: async ({ key }, send) => {
-      const before = stored.get(key);
-      if (before?.kind === 'answered') return { ...before, replayed: true };
-      const outcome = describeOutcome(await send());
+      const previous = stored.get(key);
+      if (previous?.kind === 'answered') return { ...previous, replayed: true };
+      const outcome = toOnceOutcome(await send());
       stored.set(key, outcome);
       return outcome;
     },
   };
 }
 
-function describeOutcome(sent: SendOutcome): OnceOutcome {
+function toOnceOutcome(sent: SendOutcome): OnceOutcome {
   if (sent.kind === 'answered') return { ...sent, replayed: false };
   return { kind: 'failed', failure: sent.failure };
 }
--- a/features/requests/fresh-connections.feature
+++ b/features/requests/fresh-connections.feature
@@ -1,9 +1,8 @@
 Feature: Calls that must not be repeated and idle connections
 
   Scenario: A backend server closes an idle connection just as a call arrives on it
-    A supervisor logs a check-in and is told that its outcome is unknown, though it never ran. The
-    entry kept a connection from an earlier call; the backend server closed it as idle at the moment
-    at which the next call was written to it. Nobody can tell that from a call that ran.
+    A call written to a kept connection that the backend server is closing as idle has an unknown
+    outcome. A call that must not be repeated needs a connection of its own.
 
     Given a backend server that drops every connection on its second call
     When 5 calls that must not be repeated are sent to it one after the other
--- a/features/requests/fresh-connections.steps.ts
+++ b/features/requests/fresh-connections.steps.ts
@@ -6,38 +6,42 @@
 import { createServices, type ServiceStart } from '../../src/adapters/services/index.js';
 
 interface ConnectionWorld {
-  dropper: { server: Server; address: string; runs: number };
-  starts: ServiceStart['kind'][];
+  droppingServer: { server: Server; address: string; runs: number };
+  outcomes: ServiceStart['kind'][];
 }
 
 Given(
   'a backend server that drops every connection on its second call',
   async function (this: ConnectionWorld) {
-    const used = new WeakSet<Socket>();
+    const usedSockets = new WeakSet<Socket>();
     const server = createServer((request, response) => {
-      if (used.has(request.socket)) {
+      if (usedSockets.has(request.socket)) {
         request.socket.destroy();
         return;
       }
-      used.add(request.socket);
-      this.dropper.runs += 1;
+      usedSockets.add(request.socket);
+      this.droppingServer.runs += 1;
       response.end('ran');
     });
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     const { port } = server.address() as AddressInfo;
-    this.dropper = { server, address: `127.0.0.1:${port}`, runs: 0 };
+    this.droppingServer = { server, address: `127.0.0.1:${port}`, runs: 0 };
   },
 );
 
 async function sendCalls(world: ConnectionWorld, count: number, repeatable: boolean) {
   const services = createServices();
   const request = { method: 'POST', path: '/', headers: [], body: undefined, timeoutMs: 5_000 };
-  world.starts = [];
+  world.outcomes = [];
   for (let sent = 0; sent < count; sent += 1) {
     const signal = new AbortController().signal;
-    const start = await services.call(world.dropper.address, { ...request, repeatable }, signal);
+    const start = await services.call(
+      world.droppingServer.address,
+      { ...request, repeatable },
+      signal,
+    );
     if (start.kind === 'started') await text(start.answer.body);
-    world.starts.push(start.kind);
+    world.outcomes.push(start.kind);
   }
   await services.close();
 }
@@ -58,16 +62,16 @@
 
 Then('each of them ran once and was answered', function (this: ConnectionWorld) {
   assert.deepEqual(
-    { starts: this.starts, runs: this.dropper.runs },
-    { starts: this.starts.map(() => 'started'), runs: this.starts.length },
+    { starts: this.outcomes, runs: this.droppingServer.runs },
+    { starts: this.outcomes.map(() => 'started'), runs: this.outcomes.length },
   );
 });
 
 Then('the backend server dropped at least one of these', function (this: ConnectionWorld) {
-  assert.equal(this.starts.includes('lost'), true);
+  assert.equal(this.outcomes.includes('lost'), true);
 });
 
 After(function (this: Partial<ConnectionWorld>) {
-  this.dropper?.server.closeAllConnections();
-  this.dropper?.server.close();
+  this.droppingServer?.server.closeAllConnections();
+  this.droppingServer?.server.close();
 });
--- a/features/requests/raw-service.ts
+++ b/features/requests/raw-service.ts
@@ -1,5 +1,5 @@
 /**
- * A service that writes bytes as it is told, for answers that no HTTP library would send.
+ * A service that writes raw bytes, for responses that no HTTP library would send.
  */
 import { once } from 'node:events';
 import { createServer, type AddressInfo, type Socket } from 'node:net';
@@ -10,20 +10,23 @@
   stop(): void;
 }
 
-/** Hands each call, counted from 1, to `answer`, with its text and its place on its connection. */
+/**
+ * Passes each call to `answer` with its number, its text and its number on its connection; both are
+ * counted from 1.
+ */
 export async function startRawService(
-  answer: (socket: Socket, call: number, request: string, place: number) => void,
+  answer: (socket: Socket, call: number, request: string, callOnConnection: number) => void,
 ): Promise<RawService> {
   const sockets = new Set<Socket>();
   let calls = 0;
   const server = createServer((socket) => {
     sockets.add(socket);
     socket.on('error', () => undefined);
-    let place = 0;
+    let callsOnConnection = 0;
     socket.on('data', (bytes) => {
       calls += 1;
-      place += 1;
-      answer(socket, calls, bytes.toString('latin1'), place);
+      callsOnConnection += 1;
+      answer(socket, calls, bytes.toString('latin1'), callsOnConnection);
     });
   });
   server.listen(0, '127.0.0.1');
@@ -39,7 +42,7 @@
   };
 }
 
-/** A whole answer with `body`, and with the request's id when it is named. */
+/** Renders a complete response with `body` and, if given, the request's id. */
 export function renderAnswer(body: string, requestId?: string): string {
   const id = requestId === undefined ? '' : `X-Request-Id: ${requestId}\r\n`;
   return `HTTP/1.1 200 OK\r\n${id}Content-Length: ${body.length}\r\n\r\n${body}`;
--- a/features/requests/refusals.feature
+++ b/features/requests/refusals.feature
@@ -1,6 +1,6 @@
 Feature: What callers are told when a request fails
-  Every refusal names a kind of the closed list and what may be concluded. "Not run" is said only of
-  requests that no backend server has seen.
+  Every refusal has a kind from a fixed list and a conclusion. "Not run" is used only for requests
+  that no backend server has run.
 
   Background:
     Given an entry before two replicas and two service instances
@@ -32,8 +32,8 @@
       | a once-call without key       | 400    | keyRequired      | refused    |
 
   Scenario Outline: A request that could be read in two ways: <framing>
-    # A proxy in front reads one length and the entry another; the rest of the body would become
-    # someone else's request.
+    # Request smuggling: when a proxy and the entry disagree on the body length, the rest of the body
+    # would be read as another request.
     When a caller sends raw bytes with <framing>
     Then the raw answer is 400 and the connection is closed
     And no backend server has seen anything
@@ -54,18 +54,17 @@
     Given no replica is in service
     When a caller streams the completion "hello"
     Then the refusal is 503 "noCapacity" with the conclusion "notRun"
-    And the refusal names a time to come back
+    And the refusal says when to retry
     And no backend server has seen anything
 
   Scenario: The deadline passes at an engine that does not answer
-    # The engine has the request and may be running it. "Not run" would be a guess.
+    # The engine may be running the request, so "not run" would be a guess.
     Given the next completions of both replicas have the fault '{"kind":"neverAnswer"}'
     When a caller streams the completion "hello" with a deadline of 150 ms
     Then the refusal is 504 "deadlineAfterStart" with the conclusion "unknown"
 
   Scenario: An attempt is lost and then nothing is in service
-    # The first engine read the request and died. The second attempt is never sent, and its own
-    # story would be "not run".
+    # The first attempt may have run, so "not run" is wrong although the second was never sent.
     Given only the first replica is in service
     And the next completions of both replicas have the fault '{"kind":"resetBeforeAnswer"}'
     And the replicas go out of service with the first attempt
@@ -76,5 +75,5 @@
     Given workspace "market" may have 0 requests at a time here
     When a caller streams the completion "hello"
     Then the refusal is 429 "limitExceeded" with the conclusion "notRun"
-    And the refusal names a time to come back
+    And the refusal says when to retry
     And no backend server has seen anything
--- a/features/requests/requests.steps.ts
+++ b/features/requests/requests.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of the scenarios on completions and refusals.
+ * Steps for completions and refusals.
  */
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
@@ -7,27 +7,27 @@
 import { expectedAnswer } from '../../src/stand-ins/engine/index.js';
 import { waitFor } from '../support/waiting.js';
 import { sendBadInput, sendRawFraming } from './bad-input.js';
-import { call, readStream, type Received, type Sent } from './client.js';
+import { call, parseStream, type ReceivedResponse, type RequestOptions } from './client.js';
 import { EntryFixture, MODEL } from './fixture.js';
 
-/** What the steps of one scenario share. */
+/** State shared by the steps of one scenario. */
 export interface RequestWorld {
   entry: EntryFixture;
   question: string;
-  received: Received;
-  answers: Received[];
-  raw: string;
+  received: ReceivedResponse;
+  responses: ReceivedResponse[];
+  rawResponse: string;
 }
 
 const SEED = 11;
 const MAX_TOKENS = 40;
-const MANY_FAULTS = 20;
+const FAULTS_PER_ENGINE = 20;
 
 Given(
   'an entry before two replicas and two service instances',
   async function (this: RequestWorld) {
     this.entry = new EntryFixture();
-    this.answers = [];
+    this.responses = [];
     await this.entry.start();
   },
 );
@@ -47,7 +47,7 @@
 Given(
   'all completions of both replicas break off after {int} tokens',
   function (this: RequestWorld, after: number) {
-    const faults = Array.from({ length: MANY_FAULTS }, () => ({
+    const faults = Array.from({ length: FAULTS_PER_ENGINE }, () => ({
       kind: 'cutAfter' as const,
       after,
     }));
@@ -68,9 +68,9 @@
 
 Given('the replicas go out of service with the first attempt', function (this: RequestWorld) {
   const { entry } = this;
-  const stop = entry.board.health.subscribe(() => {
+  const unsubscribe = entry.board.health.subscribe(() => {
     if (entry.listAttempts().length === 0) return;
-    stop();
+    unsubscribe();
     entry.removeReplicas();
   });
 });
@@ -78,39 +78,42 @@
 Given(
   'workspace "market" may have {int} requests at a time here',
   function (this: RequestWorld, count: number) {
-    this.entry.writeShare(count);
+    this.entry.writeLimits(count);
   },
 );
 
 When('a caller streams the completion {string}', async function (this: RequestWorld, text: string) {
-  await ask(this, text, { stream: true });
+  await requestCompletion(this, text, { stream: true });
 });
 
 When(
   'a caller streams the completion {string} with a deadline of {int} ms',
   async function (this: RequestWorld, text: string, deadline: number) {
     const headers = { 'x-request-deadline-ms': String(deadline) };
-    await ask(this, text, { stream: true }, { headers });
+    await requestCompletion(this, text, { stream: true }, { headers });
   },
 );
 
 When(
   'a caller asks for the completion {string} in one piece',
   async function (this: RequestWorld, text: string) {
-    await ask(this, text, { stream: false });
+    await requestCompletion(this, text, { stream: false });
   },
 );
 
 When(
   'a caller hangs up after the first token of {string}',
   async function (this: RequestWorld, text: string) {
-    const hangUp = new AbortController();
+    const controller = new AbortController();
     const onData = (): void => {
-      hangUp.abort();
+      controller.abort();
     };
-    await ask(this, text, { stream: true }, { signal: hangUp.signal, onData }).catch(
-      () => undefined,
-    );
+    await requestCompletion(
+      this,
+      text,
+      { stream: true },
+      { signal: controller.signal, onData },
+    ).catch(() => undefined);
   },
 );
 
@@ -120,7 +123,7 @@
     const onData = (): void => {
       this.entry.requests.beginStopping();
     };
-    await ask(this, text, { stream: true }, { onData });
+    await requestCompletion(this, text, { stream: true }, { onData });
   },
 );
 
@@ -128,8 +131,8 @@
   '{int} callers stream completions of their own at once',
   async function (this: RequestWorld, count: number) {
     const questions = Array.from({ length: count }, (_, index) => `question ${index}`);
-    this.answers = await Promise.all(
-      questions.map((question) => complete(this.entry.address, question, { stream: true })),
+    this.responses = await Promise.all(
+      questions.map((question) => postCompletion(this.entry.address, question, { stream: true })),
     );
   },
 );
@@ -139,7 +142,7 @@
 });
 
 When('a caller sends raw bytes with {}', async function (this: RequestWorld, framing: string) {
-  this.raw = await sendRawFraming(this.entry.address, framing);
+  this.rawResponse = await sendRawFraming(this.entry.address, framing);
 });
 
 Then('the streamed answer is whole', function (this: RequestWorld) {
@@ -149,17 +152,17 @@
 
 Then('the answer in one piece is whole', function (this: RequestWorld) {
   const body = JSON.parse(this.received.body) as { choices: { message: { content: string } }[] };
-  assert.equal(body.choices[0]?.message.content, expect(this.question));
+  assert.equal(body.choices[0]?.message.content, expectedText(this.question));
 });
 
 Then(
   'the streamed answer ends in one error event {string} and no end mark',
   function (this: RequestWorld, kind: string) {
-    const { text, done, errors } = readStream(this.received.body);
+    const { text, done, errors } = parseStream(this.received.body);
     assert.equal(done, false);
     assert.equal(errors.length, 1);
     assert.match(errors[0] ?? '', new RegExp(`"kind":"${kind}"`));
-    assert.ok(text.length > 0 && expect(this.question).startsWith(text));
+    assert.ok(text.length > 0 && expectedText(this.question).startsWith(text));
   },
 );
 
@@ -170,7 +173,7 @@
   },
 );
 
-Then('the refusal names a time to come back', function (this: RequestWorld) {
+Then('the refusal says when to retry', function (this: RequestWorld) {
   const { error } = JSON.parse(this.received.body) as { error: { retry_after_ms: number } };
   const seconds = Number(this.received.headers['retry-after']);
   assert.ok(seconds >= 1 && seconds * 1_000 >= error.retry_after_ms);
@@ -179,7 +182,7 @@
 Then(
   'a new completion is refused with {int} {string} and the conclusion {string}',
   async function (this: RequestWorld, status: number, kind: string, conclusion: string) {
-    const received = await complete(this.entry.address, 'another', { stream: true });
+    const received = await postCompletion(this.entry.address, 'another', { stream: true });
     assertRefusal(received, status, kind, conclusion);
     assert.equal(received.headers.connection, 'close');
   },
@@ -193,16 +196,19 @@
 Then(
   'the raw answer is {int} and the connection is closed',
   function (this: RequestWorld, status: number) {
-    assert.match(this.raw, new RegExp(`^HTTP/1.1 ${status} `));
-    assert.equal(this.raw.match(/HTTP\/1\.1/g)?.length, 1);
+    assert.match(this.rawResponse, new RegExp(`^HTTP/1.1 ${status} `));
+    assert.equal(this.rawResponse.match(/HTTP\/1\.1/g)?.length, 1);
   },
 );
 
 Then('the engine has ended the attempt as cancelled', async function (this: RequestWorld) {
-  const ended = await waitFor('the attempt to end', () =>
+  const endedAttempt = await waitFor('the attempt to end', () =>
     this.entry.listAttempts().find(({ end }) => end !== undefined),
   );
-  assert.ok(ended.end === 'cancelled' || ended.end === 'disconnected', ended.end);
+  assert.ok(
+    endedAttempt.end === 'cancelled' || endedAttempt.end === 'disconnected',
+    endedAttempt.end,
+  );
 });
 
 Then('nothing is in flight at the entry', async function (this: RequestWorld) {
@@ -216,27 +222,27 @@
 });
 
 Then('each caller has the whole answer to its own question', function (this: RequestWorld) {
-  this.answers.forEach((received, index) => {
+  this.responses.forEach((received, index) => {
     assertWholeStream(received, `question ${index}`);
   });
 });
 
-async function ask(
+async function requestCompletion(
   world: RequestWorld,
   question: string,
   options: { stream: boolean },
-  sent: Sent = {},
+  requestOptions: RequestOptions = {},
 ): Promise<void> {
   world.question = question;
-  world.received = await complete(world.entry.address, question, options, sent);
+  world.received = await postCompletion(world.entry.address, question, options, requestOptions);
 }
 
-function complete(
+function postCompletion(
   address: string,
   question: string,
   { stream }: { stream: boolean },
-  sent: Sent = {},
-): Promise<Received> {
+  requestOptions: RequestOptions = {},
+): Promise<ReceivedResponse> {
   const messages = [{ role: 'user', content: question }];
   const body = JSON.stringify({
     model: MODEL,
@@ -245,21 +251,29 @@
     seed: SEED,
     max_tokens: MAX_TOKENS,
   });
-  return call(address, '/v1/chat/completions', { method: 'POST', body, ...sent });
+  return call(address, '/v1/chat/completions', { method: 'POST', body, ...requestOptions });
 }
 
-function expect(question: string): string {
+function expectedText(question: string): string {
   const messages = [{ role: 'user' as const, content: question }];
   return expectedAnswer({ messages, seed: SEED, maxTokens: MAX_TOKENS }).text;
 }
 
-function assertWholeStream(received: Received, question: string): void {
-  const { text, done, errors } = readStream(received.body);
-  assert.deepEqual({ text, done, errors }, { text: expect(question), done: true, errors: [] });
+function assertWholeStream(received: ReceivedResponse, question: string): void {
+  const { text, done, errors } = parseStream(received.body);
+  assert.deepEqual(
+    { text, done, errors },
+    { text: expectedText(question), done: true, errors: [] },
+  );
 }
 
-function assertRefusal(received: Received, status: number, kind: string, conclusion: string): void {
+function assertRefusal(
+  received: ReceivedResponse,
+  status: number,
+  kind: string,
+  conclusion: string,
+): void {
   const { error } = JSON.parse(received.body) as { error: Record<string, string> };
-  const seen = { status: received.status, kind: error.kind, conclusion: error.conclusion };
-  assert.deepEqual(seen, { status, kind, conclusion }, received.body);
+  const actual = { status: received.status, kind: error.kind, conclusion: error.conclusion };
+  assert.deepEqual(actual, { status, kind, conclusion }, received.body);
 }
--- a/features/requests/services.feature
+++ b/features/requests/services.feature
@@ -1,5 +1,5 @@
 Feature: Plain services behind the request path
-  Calls pass through whole or visibly broken, and never run more often than their rules allow.
+  Answers arrive whole or visibly broken, and calls never run more often than their rules allow.
 
   Background:
     Given an entry before two replicas and two service instances
@@ -12,8 +12,7 @@
     Then the call is answered with 200 and the type "application/json" but no body
 
   Scenario: An answer field that is not ASCII
-    # An application writes a name into a field as UTF-8. Node refuses to write such a character, and
-    # an answer that fails half-way must not take the entry with it.
+    # Node refuses to write header fields with UTF-8 characters; this must not crash the entry.
     Given a service that answers every call with the raw text "HTTP/1.1 200 OK\r\nX-Name: Ayu é\r\nContent-Length: 2\r\n\r\nok" and closes
     When a caller gets "/services/gate/passes/7"
     Then the answer's field "x-name" has the bytes of "Ayu é"
@@ -25,15 +24,14 @@
     Then the caller has 5000000 bytes in a whole answer
 
   Scenario: An answer that is cut is never taken for whole
-    # The gate application dies while its answer is under way. Half a passport must not look like
-    # one.
+    # A backend server that dies in mid-answer must not leave a truncated answer that looks whole.
     Given the next calls of both services have the fault '{"kind":"truncate"}'
     When a caller gets "/services/gate/passes/7"
     Then the caller's connection was closed in mid-answer
 
   Scenario Outline: A call that may not be repeated meets <fault>
-    # The application reads a booking and breaks the connection. Whether it took effect cannot be
-    # known here, so it is not sent again and the caller is told just that.
+    # When the connection breaks after the call was sent, it may have run: it is not sent again, and
+    # the caller is told that the outcome is unknown.
     Given the next calls of both services have the fault '{"kind":"<fault>"}'
     When a caller posts to "/services/gate/slots"
     Then the refusal is 502 "outcomeUnknown" with the conclusion "unknown"
@@ -51,15 +49,13 @@
     And the services have run 1 calls
 
   Scenario: A repeatable call is sent again, also when every instance failed it once
-    # Both instances break a call, one after the other. Neither may be left out for long: with both
-    # left out, one bad call would take the application from everybody.
+    # A single bad call must not exclude all instances of a service.
     Given the next calls of both services have the fault '{"kind":"resetBeforeRun"}'
     When a caller gets "/services/gate/passes/7"
     Then the call is answered with 200
 
   Scenario: A call that may not be repeated goes to another instance when nothing was sent
-    # An instance is gone while the platform still lists it. No connection is made, so nothing can
-    # have run there.
+    # Without a connection nothing can have run, so the call may go to another instance.
     Given the first service instance is gone and still listed
     When a caller posts 6 times to "/services/gate/slots"
     Then all calls are answered with 200
@@ -77,24 +73,23 @@
     And the services have run 1 calls
 
   Scenario: A path that is written differently falls under the same rule
-    # The application reads "/check%2Dins" and "//check-ins" as "/check-ins". A rule that does not
-    # would let a check-in be sent without its key.
+    # A backend server may treat "/check%2Dins" and "//check-ins" as "/check-ins"; the rule must not
+    # be bypassed by a different spelling.
     When a caller posts to "/services/gate/check%2Dins"
     Then the refusal is 400 "keyRequired" with the conclusion "refused"
     When a caller posts to "/services/gate//check-ins"
     Then the refusal is 400 "keyRequired" with the conclusion "refused"
 
   Scenario: An answer that does not say where it ends
-    # An old application marks the end of its answer by closing the connection, as it does when it
-    # dies. Half an answer and a whole one look the same, so neither is passed on.
+    # An answer that ends with the connection can't be told from a truncated one, so it is not
+    # relayed.
     Given a service that answers every call with the raw text "HTTP/1.1 200 OK\r\n\r\nhalf" and closes
     When a caller posts to "/services/gate/slots"
     Then the refusal is 502 "outcomeUnknown" with the conclusion "unknown"
     And the raw service was called 1 times
 
   Scenario: A second answer that nobody asked for
-    # A confused application sends two answers to one call. The next caller on the same connection
-    # would read the second one as its own.
+    # The surplus answer must not be read as the answer to the next call on the same connection.
     Given a service that answers its first call twice, with "one" and "stray"
     When a caller gets "/services/gate/passes/1"
     And a caller gets "/services/gate/passes/2"
--- a/features/requests/services.steps.ts
+++ b/features/requests/services.steps.ts
@@ -1,11 +1,11 @@
 /**
- * Steps of the scenarios on plain services.
+ * Steps for calls to plain services.
  */
 import assert from 'node:assert/strict';
 import { createHash, randomBytes } from 'node:crypto';
 import { After, Given, Then, When } from '@cucumber/cucumber';
 import { callFaultSchema } from '../../src/stand-ins/service/control.js';
-import { call, type Received } from './client.js';
+import { call, type ReceivedResponse } from './client.js';
 import { KEY } from './fixture.js';
 import { renderAnswer, startRawService, type RawService } from './raw-service.js';
 import type { RequestWorld } from './requests.steps.js';
@@ -15,7 +15,7 @@
   rawService?: RawService;
 }
 
-/** What the service's echo says that it saw. */
+/** The request as reported by the service's echo endpoint. */
 interface Echo {
   method: string;
   path: string;
@@ -52,8 +52,8 @@
   'a service that answers its first call twice, with {string} and {string}',
   async function (this: ServiceWorld, first: string, stray: string) {
     const service = await startRawService((socket, count) => {
-      const answer = renderAnswer(count === 1 ? first : `answer ${count}`);
-      socket.write(count === 1 ? `${answer}${renderAnswer(stray)}` : answer);
+      const response = renderAnswer(count === 1 ? first : `answer ${count}`);
+      socket.write(count === 1 ? `${response}${renderAnswer(stray)}` : response);
     });
     useRawService(this, service);
   },
@@ -65,7 +65,7 @@
 
 When('a caller gets {string}', async function (this: ServiceWorld, path: string) {
   this.received = await call(this.entry.address, path);
-  this.answers.push(this.received);
+  this.responses.push(this.received);
 });
 
 When('a caller asks for the head of {string}', async function (this: ServiceWorld, path: string) {
@@ -87,16 +87,16 @@
 When(
   'a caller posts {int} times to {string}',
   async function (this: ServiceWorld, times: number, path: string) {
-    for (let done = 0; done < times; done += 1) {
-      this.answers.push(await call(this.entry.address, path, { method: 'POST', body: 'x' }));
+    for (let sent = 0; sent < times; sent += 1) {
+      this.responses.push(await call(this.entry.address, path, { method: 'POST', body: 'x' }));
     }
   },
 );
 
 When('a caller checks in with the key {string}', async function (this: ServiceWorld, key: string) {
-  const sent = { method: 'POST', body: 'rigger 7', headers: { 'idempotency-key': key } };
-  this.received = await call(this.entry.address, '/services/gate/check-ins', sent);
-  this.answers.push(this.received);
+  const options = { method: 'POST', body: 'rigger 7', headers: { 'idempotency-key': key } };
+  this.received = await call(this.entry.address, '/services/gate/check-ins', options);
+  this.responses.push(this.received);
 });
 
 When(
@@ -118,8 +118,8 @@
 When('a caller uploads {int} bytes in chunks', async function (this: ServiceWorld, bytes: number) {
   this.uploaded = randomBytes(bytes);
   const headers = { 'transfer-encoding': 'chunked' };
-  const sent = { method: 'POST', body: this.uploaded, headers };
-  this.received = await call(this.entry.address, '/services/gate/upload', sent);
+  const options = { method: 'POST', body: this.uploaded, headers };
+  this.received = await call(this.entry.address, '/services/gate/upload', options);
 });
 
 When('a caller downloads {int} bytes', async function (this: ServiceWorld, bytes: number) {
@@ -191,7 +191,7 @@
 );
 
 Then('all calls are answered with {int}', function (this: ServiceWorld, status: number) {
-  assert.deepEqual(new Set(this.answers.map((answer) => answer.status)), new Set([status]));
+  assert.deepEqual(new Set(this.responses.map((response) => response.status)), new Set([status]));
 });
 
 Then('the services have run {int} calls', function (this: ServiceWorld, runs: number) {
@@ -199,7 +199,7 @@
 });
 
 Then('the second answer is the first one, marked as replayed', function (this: ServiceWorld) {
-  const [first, second] = this.answers;
+  const [first, second] = this.responses;
   assert.ok(first && second);
   assert.equal(second.body, first.body);
   assert.equal(second.headers['idempotency-replayed'], 'true');
@@ -211,17 +211,17 @@
 });
 
 Then('no caller has read {string}', function (this: ServiceWorld, text: string) {
-  assert.ok(this.answers.length > 1);
-  for (const { body } of this.answers) assert.ok(!body.includes(text), body);
+  assert.ok(this.responses.length > 1);
+  for (const { body } of this.responses) assert.ok(!body.includes(text), body);
 });
 
 function useRawService(world: ServiceWorld, service: RawService): void {
   world.rawService = service;
-  const listed = { instance: 'gate-raw', address: service.address };
-  world.entry.writeFleet([...world.entry.engines, listed]);
+  const rawInstance = { instance: 'gate-raw', address: service.address };
+  world.entry.writeFleet([...world.entry.engines, rawInstance]);
 }
 
-function readEcho(received: Received): Echo {
+function readEcho(received: ReceivedResponse): Echo {
   assert.equal(received.status, 200, received.body);
   return JSON.parse(received.body) as Echo;
 }
--- a/features/requests/unread.feature
+++ b/features/requests/unread.feature
@@ -1,17 +1,15 @@
 Feature: What an entry holds for callers that read nothing
 
-  A caller that is out of reach keeps its connection and reads nothing. What the entry has read for
-  it and can't hand on fills the entry's memory. It is bounded for each caller, and what a backend
-  server has to say beyond that stays there.
+  The entry buffers a bounded number of bytes for a caller that reads nothing, and applies
+  backpressure to the backend server beyond that.
 
   Background:
     Given an entry before two replicas and two service instances
-    And its backend servers have 8 megabytes to say in each answer
+    And its backend servers send 8 megabytes in each answer
 
   Scenario Outline: From 6 to 24 callers of <kind> that read nothing
-    # Entries with a few dozen megabytes to spare die one after the other: phones went out of reach
-    # in the middle of long answers, and the entries read on for them. Four times as many such
-    # callers must cost four times as many bounded buffers, and no more.
+    # An entry must not run out of memory when callers stop reading: four times as many callers may
+    # cost at most four times as many bounded buffers.
     When 6 callers ask for <kind> and read nothing, until nothing moves any more
     Then each of the 6 callers of <kind> is held up, and the entry held no more than their buffers
     When 18 callers ask for <kind> and read nothing, until nothing moves any more
--- a/features/requests/unread.steps.ts
+++ b/features/requests/unread.steps.ts
@@ -1,8 +1,8 @@
 /**
- * Steps of the scenarios on callers that read nothing.
+ * Steps for callers that do not read their responses.
  *
- * Entry, backend server and callers run in this process, so that "nothing moves" is seen, not
- * guessed: while the machine is busy all of them wait, and so does this.
+ * Entry, backend server and callers share this process, so a busy machine can't be mistaken for
+ * transfers that have stopped.
  */
 import assert from 'node:assert/strict';
 import { connect, type Socket } from 'node:net';
@@ -11,78 +11,83 @@
 import { BLOCKED_BYTES, BUFFERS } from '../support/entry-buffers.js';
 import { waitFor } from '../support/waiting.js';
 import {
-  AMPLE_BYTES,
-  AMPLE_TOKENS,
-  startAmpleBackend,
-  type AmpleBackend,
-} from './ample-backend.js';
+  RESPONSE_BYTES,
+  RESPONSE_TOKENS,
+  startLargeResponseBackend,
+  type LargeResponseBackend,
+} from './large-response-backend.js';
 import { KEY, MODEL } from './fixture.js';
 import type { RequestWorld } from './requests.steps.js';
 
-type Kind = keyof typeof BUFFERS;
+type ResponseKind = keyof typeof BUFFERS;
 
 interface UnreadWorld extends RequestWorld, World {
-  ample?: AmpleBackend;
-  silent: Socket[];
-  /** The most that was held while each group of callers came, in bytes. */
+  largeResponseBackend?: LargeResponseBackend;
+  blockedSockets: Socket[];
+  /** Peak of the bytes held by the entry, for each group of callers. */
   peaks: number[];
 }
 
-const LOOK_EVERY_MS = 10;
-/** So many looks in a row without a change; the event loop has turned for each. */
-const STILL_LOOKS = 30;
-/** Of a step that moves 200 megabytes; no verdict rests on it. */
-const LONGEST_STEP_MS = 60_000;
-/** Of the callers' requests: later than the last step ends. */
-const DEADLINE_MS = 3 * LONGEST_STEP_MS;
+const POLL_INTERVAL_MS = 10;
+/** Consecutive polls without a change after which all transfers count as stopped. */
+const IDLE_POLLS = 30;
+/** Generous timeout for steps that transfer 200 megabytes; not an assertion on speed. */
+const STEP_TIMEOUT_MS = 60_000;
+/** Deadline of the callers' requests; outlasts all steps. */
+const DEADLINE_MS = 3 * STEP_TIMEOUT_MS;
 
 After(async function (this: Partial<UnreadWorld>) {
-  for (const socket of this.silent ?? []) socket.destroy();
-  await this.ample?.stop();
+  for (const socket of this.blockedSockets ?? []) socket.destroy();
+  await this.largeResponseBackend?.stop();
 });
 
 Given(
-  'its backend servers have {int} megabytes to say in each answer',
+  'its backend servers send {int} megabytes in each answer',
   async function (this: UnreadWorld, megabytes: number) {
-    assert.equal(AMPLE_BYTES, megabytes * 1_000_000);
+    assert.equal(RESPONSE_BYTES, megabytes * 1_000_000);
     const [engine] = this.entry.engines;
     assert.ok(engine);
-    const { address } = (this.ample = await startAmpleBackend(engine.address));
+    const { address } = (this.largeResponseBackend = await startLargeResponseBackend(
+      engine.address,
+    ));
     this.entry.writeFleet([
       { instance: engine.instance, address },
       { instance: 'gate-1', address },
     ]);
-    this.silent = [];
+    this.blockedSockets = [];
     this.peaks = [];
   },
 );
 
 When(
   /^(\d+) callers ask for (streams|downloads) and read nothing, until nothing moves any more$/,
-  { timeout: LONGEST_STEP_MS },
-  async function (this: UnreadWorld, callers: string, kind: Kind) {
+  { timeout: STEP_TIMEOUT_MS },
+  async function (this: UnreadWorld, callers: string, kind: ResponseKind) {
     for (let count = 0; count < Number(callers); count += 1) {
-      this.silent.push(askSilently(this.entry.address, kind));
+      this.blockedSockets.push(sendWithoutReading(this.entry.address, kind));
     }
-    this.peaks.push(await watchUntilStill(this));
+    this.peaks.push(await measurePeakUntilIdle(this));
   },
 );
 
 Then(
   /^each of the (\d+) callers of (streams|downloads) is held up, and the entry held no more than their buffers$/,
-  function (this: UnreadWorld, callers: string, kind: Kind) {
-    const held = this.peaks.at(-1) ?? 0;
+  function (this: UnreadWorld, callers: string, kind: ResponseKind) {
+    const heldBytes = this.peaks.at(-1) ?? 0;
     const bound = Number(callers) * BUFFERS[kind];
-    this.log(`${callers} ${kind}: held at most ${held} bytes, bound ${bound}`);
-    assert.equal(this.silent.length, Number(callers));
-    assert.ok(held <= bound, `${held} bytes, more than ${bound}`);
-    assert.ok(this.entry.unread.sum() >= this.silent.length * BLOCKED_BYTES, 'not all held up');
+    this.log(`${callers} ${kind}: held at most ${heldBytes} bytes, bound ${bound}`);
+    assert.equal(this.blockedSockets.length, Number(callers));
+    assert.ok(heldBytes <= bound, `${heldBytes} bytes, more than ${bound}`);
+    assert.ok(
+      this.entry.unread.sum() >= this.blockedSockets.length * BLOCKED_BYTES,
+      'not all callers are blocked',
+    );
   },
 );
 
 Then(
   /^the (\d+) callers that came later cost no more than the buffers of \d+ (streams|downloads)$/,
-  function (this: UnreadWorld, callers: string, kind: Kind) {
+  function (this: UnreadWorld, callers: string, kind: ResponseKind) {
     const [first = 0, last = Infinity] = this.peaks;
     const bound = Number(callers) * BUFFERS[kind];
     assert.ok(last - first <= bound, `${last - first} bytes more, over ${bound}`);
@@ -90,43 +95,50 @@
 );
 
 When('the callers read on', function (this: UnreadWorld) {
-  for (const socket of this.silent) socket.resume();
+  for (const socket of this.blockedSockets) socket.resume();
 });
 
 Then('each has the whole answer, and the entry holds nothing', async function (this: UnreadWorld) {
   await Promise.all(
-    this.silent.map((socket) =>
-      waitFor('the end of an answer', () => socket.readableEnded, LONGEST_STEP_MS),
+    this.blockedSockets.map((socket) =>
+      waitFor('the end of an answer', () => socket.readableEnded, STEP_TIMEOUT_MS),
     ),
   );
-  for (const { bytesRead } of this.silent) {
-    assert.ok(bytesRead > AMPLE_BYTES, `${bytesRead} bytes`);
+  for (const { bytesRead } of this.blockedSockets) {
+    assert.ok(bytesRead > RESPONSE_BYTES, `${bytesRead} bytes`);
   }
   await waitFor('the entry to hold nothing', () => this.entry.unread.sum() === 0);
 });
 
-/** Resolves with the most that the entry held, once nothing has left its backend servers for long. */
-async function watchUntilStill({ ample, entry, silent }: UnreadWorld): Promise<number> {
-  assert.ok(ample);
-  await waitFor('all answers to begin', () => ample.begun() === silent.length);
+/** Resolves with the peak of bytes held by the entry, once all transfers have stopped. */
+async function measurePeakUntilIdle({
+  largeResponseBackend,
+  entry,
+  blockedSockets,
+}: UnreadWorld): Promise<number> {
+  assert.ok(largeResponseBackend);
+  await waitFor(
+    'all answers to begin',
+    () => largeResponseBackend.startedResponses() === blockedSockets.length,
+  );
   let peak = 0;
-  let before = '';
-  for (let still = 0; still < STILL_LOOKS;) {
-    const held = entry.unread.sum();
-    const now = `${held} ${ample.writtenBytes()}`;
-    peak = Math.max(peak, held);
-    still = now === before ? still + 1 : 0;
-    before = now;
-    await sleep(LOOK_EVERY_MS);
+  let previousState = '';
+  for (let idlePolls = 0; idlePolls < IDLE_POLLS;) {
+    const heldBytes = entry.unread.sum();
+    const currentState = `${heldBytes} ${largeResponseBackend.writtenBytes()}`;
+    peak = Math.max(peak, heldBytes);
+    idlePolls = currentState === previousState ? idlePolls + 1 : 0;
+    previousState = currentState;
+    await sleep(POLL_INTERVAL_MS);
   }
   return peak;
 }
 
-function askSilently(address: string, kind: Kind): Socket {
+function sendWithoutReading(address: string, kind: ResponseKind): Socket {
   const [host, port] = address.split(':');
-  const asked = { model: MODEL, stream: true, max_tokens: AMPLE_TOKENS };
+  const options = { model: MODEL, stream: true, max_tokens: RESPONSE_TOKENS };
   const messages = [{ role: 'user', content: 'what is new?' }];
-  const body = kind === 'streams' ? JSON.stringify({ ...asked, messages }) : '';
+  const body = kind === 'streams' ? JSON.stringify({ ...options, messages }) : '';
   const head = [
     kind === 'streams' ? 'POST /v1/chat/completions HTTP/1.1' : 'GET /services/gate/ample HTTP/1.1',
     `Host: ${address}`,
