--- a/src/controllers/forwarding/suspicion.ts
+++ b/src/controllers/forwarding/suspicion.ts
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Records a suspicion of a peer, detected `ageMs` ago and in force for `leftMs` more; returns true
-   * when the server was not suspected before.
+   * Records a suspicion reported by a peer, detected `ageMs` ago and in force for `leftMs` more;
+   * returns true when the server was not suspected before.
    */
   learn(server: string, ageMs: Milliseconds, leftMs: Milliseconds, now: Milliseconds): boolean {
     const known = this.entries.get(server);
