--- /dev/null
+++ b/src/controllers/forwarding/retry-budget.ts
@@ -0,0 +1,74 @@
+/**
+ * Limits the retries that a gateway sends to a service.
+ *
+ * Prevents retries from amplifying an overload. All gateways together may retry a fraction of the
+ * requests plus a fixed number per window. Each gateway applies the fraction to its own requests and
+ * takes an equal share of the fixed number, so the total holds without coordination.
+ */
+import type { Milliseconds } from '../../core/clock/index.js';
+
+/** The configured retry limits, for all gateways together. */
+export interface RetryBounds {
+  /** Retries allowed per request. */
+  ratio: number;
+  windowMs: Milliseconds;
+  /** Additional retries allowed per window. */
+  slack: number;
+}
+
+/** Fraction of the limit in use; allows for lagging counts and for gateways that join or leave. */
+const SAFETY_FACTOR = 0.85;
+const SLICES_PER_WINDOW = 10;
+
+interface Slice {
+  /** Number of slices since the clock's origin. */
+  index: number;
+  requests: number;
+  retries: number;
+}
+
+/** Request and retry counts of one service in a sliding window. Mutable; has a single owner. */
+export class RepeatBudget {
+  private slices: Slice[] = [];
+
+  constructor(private readonly bounds: RetryBounds) {}
+
+  /** Counts the first attempt of a request. */
+  recordRequest(now: Milliseconds): void {
+    this.currentSlice(now).requests += 1;
+  }
+
+  /** Takes one retry; returns false when none is left. `gateways` share the slack. */
+  take(now: Milliseconds, gateways: number): boolean {
+    if (!this.hasLeft(now, gateways)) return false;
+    this.currentSlice(now).retries += 1;
+    return true;
+  }
+
+  /** Whether a retry is left. */
+  hasLeft(now: Milliseconds, gateways: number): boolean {
+    this.currentSlice(now);
+    const newestIndex = this.slices.at(-1)?.index ?? 0;
+    const inWindow = this.slices.filter(({ index }) => index > newestIndex - SLICES_PER_WINDOW);
+    const requests = sum(inWindow, 'requests');
+    // Includes one more slice: a sliding window overlaps the oldest slice and all of the newest.
+    const retries = sum(this.slices, 'retries');
+    const { ratio, slack } = this.bounds;
+    const limit = SAFETY_FACTOR * (ratio * requests + slack / Math.max(1, gateways));
+    return retries + 1 <= limit;
+  }
+
+  private currentSlice(now: Milliseconds): Slice {
+    const index = Math.floor(now / (this.bounds.windowMs / SLICES_PER_WINDOW));
+    this.slices = this.slices.filter((slice) => slice.index >= index - SLICES_PER_WINDOW);
+    const last = this.slices.at(-1);
+    if (last?.index === index) return last;
+    const created = { index, requests: 0, retries: 0 };
+    this.slices.push(created);
+    return created;
+  }
+}
+
+function sum(slices: readonly Slice[], count: 'requests' | 'retries'): number {
+  return slices.reduce((total, slice) => total + slice[count], 0);
+}
