--- a/features/membership/membership.feature
+++ b/features/membership/membership.feature
@@ -9,7 +9,7 @@
     And the platform lists engine "engine-1" as live
     When engine "engine-1" tells "entry-1" that it is leaving
     Then "engine-1" is leaving at every member entry
-    When the platform lists engine "engine-1" as live anew after its restart
+    When the platform lists engine "engine-1" as live again after its restart
     Then "engine-1" is no longer leaving at any member entry
 
   Scenario: a service instance is stopped only when every entry is done with it
--- a/features/membership/membership.steps.ts
+++ b/features/membership/membership.steps.ts
@@ -79,7 +79,7 @@
 });
 
 Given(
-  /^the platform lists (engine|service) (?:instance )?"([^"]+)" as live( anew after its restart)?$/,
+  /^the platform lists (engine|service) (?:instance )?"([^"]+)" as live( again after its restart)?$/,
   async function (this: MemberWorld, role: string, name: string, anew: string | null) {
     const { platform } = fleetOf(this);
     const value = { role, address: '127.0.0.1:2', failureDomain: 'domain-0' };
