--- a/features/membership/digests.steps.ts
+++ b/features/membership/digests.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Properties of the exchange of digests, on manual time and over an unreliable network.
+ * Properties of the digest exchange, with simulated time and an unreliable network.
  */
 import assert from 'node:assert/strict';
 import { Then } from '@cucumber/cucumber';
@@ -40,42 +40,42 @@
 }
 
 function compose(from: GossipState, to: string, now: number): DigestMessage {
-  const question = {
+  const options = {
     target: to,
     relayed: [...from.peers.values()],
     summaries: [],
     heartbeatGapMs: STEP_MS,
     budgetBytes: 3_000,
   };
-  return composeMessage(from, question, now);
+  return composeMessage(from, options, now);
 }
 
-/** Every revision that an entry ever had, by incarnation and change: the truth to compare with. */
-type Truth = Map<string, number>;
+/** The expected revision for every incarnation and change of an entry. */
+type RevisionHistory = Map<string, number>;
 
-function checkPeers(state: GossipState, truth: Truth): void {
+function checkPeers(state: GossipState, revisions: RevisionHistory): void {
   for (const { incarnation, change, content } of state.peers.values()) {
-    assert.equal(content.revision, truth.get(`${incarnation}/${change}`));
+    assert.equal(content.revision, revisions.get(`${incarnation}/${change}`));
   }
 }
 
 const step = fc.record({
   from: fc.nat({ max: 3 }),
   to: fc.nat({ max: 3 }),
-  fate: fc.constantFrom('delivered', 'lost', 'answerLost', 'doubled', 'late', 'restarted'),
+  outcome: fc.constantFrom('delivered', 'lost', 'answerLost', 'duplicated', 'delayed', 'restarted'),
   isNew: fc.boolean(),
 });
 
 Then('digests under any delivery are never taken for newer than they are, and all converge', () => {
   const property = fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
     let now = 0;
-    const truth: Truth = new Map();
-    const late: { to: number; message: DigestMessage }[] = [];
+    const revisions: RevisionHistory = new Map();
+    const delayed: { to: number; message: DigestMessage }[] = [];
     const starts = [0, 0, 0, 0];
     const create = (index: number): GossipState => {
       const name = NODES[index] ?? '';
       const incarnation = `${name}${starts[index] ?? 0}`;
-      truth.set(`${incarnation}/1`, 0);
+      revisions.set(`${incarnation}/1`, 0);
       return createGossipState(name, incarnation, createContent(0), now);
     };
     const states = NODES.map((_, index) => create(index));
@@ -84,7 +84,7 @@
       const { revision } = state.self.content;
       advanceSelf(state, createContent(isNew ? revision + 1 : revision), now);
       const { incarnation, change, content } = state.self;
-      truth.set(`${incarnation}/${change}`, content.revision);
+      revisions.set(`${incarnation}/${change}`, content.revision);
     };
     const exchange = (from: number, to: number, isAnswered: boolean): void => {
       const [one, other] = [stateOf(from), stateOf(to)];
@@ -95,39 +95,39 @@
       receiveMessage(one, answer, now);
       confirmMessage(one, other.self.name, message, now);
     };
-    const perform = ({ from, to, fate, isNew }: (typeof steps)[number]): void => {
+    const perform = ({ from, to, outcome, isNew }: (typeof steps)[number]): void => {
       if (from === to) return;
       advance(stateOf(from), isNew);
       const message = compose(stateOf(from), NODES[to] ?? '', now);
-      switch (fate) {
+      switch (outcome) {
         case 'lost':
           return;
-        case 'late':
-          late.push({ to, message });
+        case 'delayed':
+          delayed.push({ to, message });
           return;
         case 'restarted':
           starts[from] = (starts[from] ?? 0) + 1;
           states[from] = create(from);
           return;
-        case 'doubled':
+        case 'duplicated':
           receiveMessage(stateOf(to), message, now);
           receiveMessage(stateOf(to), message, now);
           return;
         case 'delivered':
         case 'answerLost':
-          exchange(from, to, fate === 'delivered');
+          exchange(from, to, outcome === 'delivered');
       }
     };
-    for (const [index, taken] of steps.entries()) {
+    for (const [index, current] of steps.entries()) {
       now += STEP_MS;
-      perform(taken);
+      perform(current);
       if (index % 5 === 4)
-        for (const { to, message } of late.splice(0)) {
+        for (const { to, message } of delayed.splice(0)) {
           receiveMessage(stateOf(to), message, now);
         }
-      for (const state of states) checkPeers(state, truth);
+      for (const state of states) checkPeers(state, revisions);
     }
-    // Fair rounds: everybody exchanges with everybody, twice.
+    // Two rounds without faults, in which every entry exchanges digests with every other.
     for (let round = 0; round < 2; round += 1) {
       for (const from of NODES.keys()) {
         now += STEP_MS;
@@ -164,13 +164,13 @@
       let sent = 0;
       for (let now = 0; now < seconds * 1_000; now += 250) {
         budget = refillBudget(budget, bytesPerSecond, now);
-        const question = { failureDomain: 'domain-0', targets, fanOut };
+        const options = { failureDomain: 'domain-0', targets, fanOut };
         const limits = { bytesLeft: budget.left, bytesPerExchange: 500 };
-        const bytes = planRound({ ...question, ...limits }, random).length * messageBytes;
+        const bytes = planRound({ ...options, ...limits }, random).length * messageBytes;
         budget = { ...budget, left: budget.left - bytes };
         sent += bytes;
       }
-      // A round may overdraw the budget by its own messages, and the next ones wait.
+      // A single round may overdraw the budget; the following ones wait until it is refilled.
       assert(sent <= bytesPerSecond * seconds + fanOut * messageBytes);
     },
   );
--- a/features/membership/rates.feature
+++ b/features/membership/rates.feature
@@ -1,15 +1,14 @@
 Feature: Entries keep within the platform's calls and their own bytes
 
   Scenario: A fleet of any size makes a bounded number of watch calls
-    # Plans are renewed every other second, those of many fabric domains several times a second. Were
-    # each change answered to each entry at once, hundreds of entries would make thousands of calls a
-    # second; the platform refuses what is above its rate, and no entry gets its changes.
-    When plans change all the time before fleets of 1 to 1000 entries
-    Then the watch calls of none pass 800 a second, or 10 of each entry
+    # Guards against a large fleet exceeding the platform's rate limit with one watch call per change
+    # and entry, after which no entry would receive changes.
+    When plans change continuously in fleets of 1 to 1000 entries
+    Then no fleet makes more than 800 watch calls a second, or 10 per entry
 
   Scenario: News does not wait for the bytes that heartbeats have used up
-    # A member dies. Its prober knows, and has just sent its heartbeats; the others send callers to
-    # the dead replica until the prober's bytes suffice for a round again.
-    Given rounds without news that took all the bytes they may
-    When there is news
-    Then a round goes to as many entries as ever
+    # Guards against heartbeats exhausting the byte budget and delaying a digest that reports a
+    # failure, while other entries keep sending requests to the failed replica.
+    Given rounds without updates that spent all bytes available to them
+    When there is an update
+    Then a round has the full fan-out
--- a/features/membership/rates.steps.ts
+++ b/features/membership/rates.steps.ts
@@ -13,34 +13,37 @@
 const EXCHANGE_BYTES = 500;
 const FAN_OUT = 3;
 
-interface PauseWorld {
-  sizes: readonly number[];
+interface RatesWorld {
+  fleetSizes: readonly number[];
   budget: ByteBudget;
-  reached: number;
+  targetCount: number;
 }
 
 When(
-  'plans change all the time before fleets of {int} to {int} entries',
-  function (this: PauseWorld, least: number, most: number) {
-    this.sizes = Array.from({ length: most - least + 1 }, (_, at) => least + at);
+  'plans change continuously in fleets of {int} to {int} entries',
+  function (this: RatesWorld, minEntries: number, maxEntries: number) {
+    this.fleetSizes = Array.from(
+      { length: maxEntries - minEntries + 1 },
+      (_, at) => minEntries + at,
+    );
   },
 );
 
 Then(
-  'the watch calls of none pass {int} a second, or {int} of each entry',
-  function (this: PauseWorld, ofAll: number, ofEach: number) {
-    for (const entries of this.sizes) {
+  'no fleet makes more than {int} watch calls a second, or {int} per entry',
+  function (this: RatesWorld, maxTotal: number, maxPerEntry: number) {
+    for (const entries of this.fleetSizes) {
       const calls = 1_000 / findWatchPause(entries);
-      assert.ok(calls <= ofEach, `${entries} entries: ${calls} a second each`);
+      assert.ok(calls <= maxPerEntry, `${entries} entries: ${calls} a second each`);
       assert.ok(
-        calls * entries <= ofAll * 1.001,
+        calls * entries <= maxTotal * 1.001,
         `${entries} entries: ${calls * entries} a second`,
       );
     }
   },
 );
 
-Given('rounds without news that took all the bytes they may', function (this: PauseWorld) {
+Given('rounds without updates that spent all bytes available to them', function (this: RatesWorld) {
   this.budget = { left: 0, at: 0 };
   for (let now = 0; now <= 60_000; now += 500) {
     this.budget = refillBudget(this.budget, BYTES_PER_SECOND, now);
@@ -50,17 +53,17 @@
   assert.equal(countTargets(this.budget, false), 0);
 });
 
-When('there is news', function (this: PauseWorld) {
-  this.reached = countTargets(this.budget, true);
+When('there is an update', function (this: RatesWorld) {
+  this.targetCount = countTargets(this.budget, true);
 });
 
-Then('a round goes to as many entries as ever', function (this: PauseWorld) {
-  assert.equal(this.reached, FAN_OUT);
+Then('a round has the full fan-out', function (this: RatesWorld) {
+  assert.equal(this.targetCount, FAN_OUT);
 });
 
-function countTargets(budget: ByteBudget, hasNews: boolean): number {
+function countTargets(budget: ByteBudget, hasUpdates: boolean): number {
   const targets = [1, 2, 3, 4, 5].map((port) => ({ address: `127.0.0.1:${port}` }));
-  const bytesLeft = findSpendable(budget, BYTES_PER_SECOND, hasNews);
-  const question = { failureDomain: 'a', targets, fanOut: FAN_OUT, bytesLeft };
-  return planRound({ ...question, bytesPerExchange: EXCHANGE_BYTES }, createRandom(1)).length;
+  const bytesLeft = findSpendable(budget, BYTES_PER_SECOND, hasUpdates);
+  const options = { failureDomain: 'a', targets, fanOut: FAN_OUT, bytesLeft };
+  return planRound({ ...options, bytesPerExchange: EXCHANGE_BYTES }, createRandom(1)).length;
 }
--- a/src/controllers/membership/digest-content.ts
+++ b/src/controllers/membership/digest-content.ts
@@ -1,47 +1,47 @@
 /**
- * What this entry says of itself in its digest.
+ * Builds the content of this entry's own digest and limits it to the maximum sizes.
  */
 import type { Attempts, InFlightCount, SentCount, WorkspaceDemand } from '../../board/index.js';
-import { DIGEST_LIST_LENGTH, EXTENSION_LENGTH, type DigestContent } from './messages.js';
+import { MAX_DIGEST_LIST_LENGTH, EXTENSION_LENGTH, type DigestContent } from './messages.js';
 
-/** Replicas and workspaces of a digest; the ones with the most are kept. */
-const SENT_LENGTH = 12;
-const DEMANDS_LENGTH = 16;
-/** Digits of a rate that are told: small changes are no change of the digest. */
-const RATE_DIGITS = 2;
+/** Maximum number of replicas and workspaces in a digest; those with the most tokens are kept. */
+const MAX_SENT_COUNTS = 12;
+const MAX_DEMANDS = 16;
+/** Rates are rounded so that small fluctuations don't change the digest. */
+const RATE_SIGNIFICANT_DIGITS = 2;
 
-/** What the digest is made from; lists of any length. */
-export interface ContentSource extends Omit<DigestContent, 'sent' | 'demands' | 'draining'> {
+/** Source data of a digest; its lists are not limited in length. */
+export interface DigestContentSource extends Omit<DigestContent, 'sent' | 'demands' | 'draining'> {
   attempts: Attempts;
   draining: readonly InFlightCount[];
 }
 
 /**
- * The content of a digest, cut to its bounds.
+ * Builds the content of a digest, truncated to its maximum sizes.
  *
- * A draining target that is cut off the list is held up at the other entries, never released too
- * early; what is cut off the sent counts is corrected by the engines' own reports.
+ * Truncation is safe: the other entries wait longer for a draining target that is missing from the
+ * list, and the engines' own reports correct sent counts that are missing.
  */
-export function composeContent(source: ContentSource): DigestContent {
+export function composeContent(source: DigestContentSource): DigestContent {
   const { attempts, draining, leaving, extensions, ...rest } = source;
   return {
     ...rest,
-    draining: draining.slice(0, DIGEST_LIST_LENGTH),
-    sent: largestSent(attempts.sent),
-    demands: largestDemands(attempts.demands),
-    leaving: leaving.slice(0, DIGEST_LIST_LENGTH),
-    extensions: dropLongExtensions(extensions),
+    draining: draining.slice(0, MAX_DIGEST_LIST_LENGTH),
+    sent: selectLargestSentCounts(attempts.sent),
+    demands: selectLargestDemands(attempts.demands),
+    leaving: leaving.slice(0, MAX_DIGEST_LIST_LENGTH),
+    extensions: dropOversizedExtensions(extensions),
   };
 }
 
-function largestSent(sent: readonly SentCount[]): SentCount[] {
-  const weigh = (count: SentCount): number => count.promptTokens + count.outputTokens;
-  return [...sent].sort((a, b) => weigh(b) - weigh(a)).slice(0, SENT_LENGTH);
+function selectLargestSentCounts(sent: readonly SentCount[]): SentCount[] {
+  const totalTokens = (count: SentCount): number => count.promptTokens + count.outputTokens;
+  return [...sent].sort((a, b) => totalTokens(b) - totalTokens(a)).slice(0, MAX_SENT_COUNTS);
 }
 
-function largestDemands(demands: readonly WorkspaceDemand[]): WorkspaceDemand[] {
+function selectLargestDemands(demands: readonly WorkspaceDemand[]): WorkspaceDemand[] {
   const largest = [...demands].sort((a, b) => b.tokensPerSecond - a.tokensPerSecond);
-  return largest.slice(0, DEMANDS_LENGTH).map((demand) => ({
+  return largest.slice(0, MAX_DEMANDS).map((demand) => ({
     ...demand,
     requestsPerSecond: roundRate(demand.requestsPerSecond),
     tokensPerSecond: roundRate(demand.tokensPerSecond),
@@ -49,10 +49,12 @@
 }
 
 function roundRate(rate: number): number {
-  return Number(rate.toPrecision(RATE_DIGITS));
+  return Number(rate.toPrecision(RATE_SIGNIFICANT_DIGITS));
 }
 
-function dropLongExtensions(extensions: DigestContent['extensions']): DigestContent['extensions'] {
+function dropOversizedExtensions(
+  extensions: DigestContent['extensions'],
+): DigestContent['extensions'] {
   const kept = Object.entries(extensions).filter(([, text]) => text.length <= EXTENSION_LENGTH);
   return Object.fromEntries(kept);
 }
--- a/src/controllers/membership/gossip.ts
+++ b/src/controllers/membership/gossip.ts
@@ -1,64 +1,64 @@
 /**
- * Push-pull exchange of digests: what to tell a peer, and what to believe of what it tells.
+ * Push-pull gossip: composes the digests to send to a peer and merges the digests received from it.
  *
- * A digest replaces an older one of the same start of an entry when its sequence number is higher.
- * A digest of another start replaces it when it was made later, which its age tells: a copy of the
- * former process's digest that goes round for a while is always older than the new process's first.
+ * Within one incarnation of an entry, the digest with the higher sequence number wins. Between
+ * incarnations, the digest created later wins, as computed from its age: relayed copies of the
+ * previous process's digest are always older than the new process's first digest.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import {
-  MESSAGE_LIST_LENGTH,
+  MAX_MESSAGE_LIST_LENGTH,
   type Digest,
   type DigestContent,
   type DigestMessage,
   type DomainSummary,
 } from './messages.js';
 
-/** The last digest of one entry. */
+/** The latest digest known of one entry. */
 export interface PeerRecord {
   name: string;
   incarnation: string;
   sequence: number;
   change: number;
   content: DigestContent;
-  /** When the digest was made, by this process's clock. */
+  /** When the digest was created, by this process's clock. */
   heardAt: Milliseconds;
-  /** When one was last received from the entry itself; absent when all came through others. */
-  directAt?: Milliseconds;
+  /** When a digest was last received from the entry itself; absent if all were relayed. */
+  heardDirectlyAt?: Milliseconds;
 }
 
-/** The last summary of another failure domain. */
+/** The latest summary received of another failure domain. */
 export interface SummaryRecord {
   summary: DomainSummary;
   madeAt: Milliseconds;
 }
 
-/** Which digest of an entry a peer is known to hold. */
-interface HeldDigest {
+/** Identifies the digest of an entry that a peer is known to hold. */
+interface DigestVersion {
   incarnation: string;
   sequence: number;
   change: number;
   madeAt: Milliseconds;
 }
 
-/** All that one entry knows of the others. Changed in place by the functions of this module. */
+/** Everything an entry knows about the others. Mutated in place by the functions of this module. */
 export interface GossipState {
   self: PeerRecord;
   peers: Map<string, PeerRecord>;
   summaries: Map<string, SummaryRecord>;
-  /** By peer name: what that peer holds, by entry name. */
-  held: Map<string, Map<string, HeldDigest>>;
+  /** By peer name, then by entry name: the digest that the peer is known to hold. */
+  acknowledged: Map<string, Map<string, DigestVersion>>;
 }
 
-/** What a received message changed. */
+/** The result of processing a received message. */
 export interface Receipt {
-  /** Who sent it. */
+  /** Name of the sender. */
   from: string;
-  /** Entries of which newer digests came. */
+  /** Entries whose record was replaced by a newer digest. */
   updated: readonly PeerRecord[];
 }
 
-/** State of an entry that has heard nobody. */
+/** Creates the state of an entry that has not received any digests. */
 export function createGossipState(
   name: string,
   incarnation: string,
@@ -66,10 +66,10 @@
   now: Milliseconds,
 ): GossipState {
   const self = { name, incarnation, sequence: 1, change: 1, content, heardAt: now };
-  return { self, peers: new Map(), summaries: new Map(), held: new Map() };
+  return { self, peers: new Map(), summaries: new Map(), acknowledged: new Map() };
 }
 
-/** Puts a new digest of this entry itself in place; a content that is equal is no new change. */
+/** Advances this entry's own digest; `change` is incremented only if the content differs. */
 export function advanceSelf(state: GossipState, content: DigestContent, now: Milliseconds): void {
   const { self } = state;
   const changed = JSON.stringify(content) !== JSON.stringify(self.content);
@@ -82,82 +82,85 @@
   };
 }
 
-/** What a message is composed from. */
-export interface MessageQuestion {
-  /** Undefined for an address whose entry is not known yet. */
+/** Options of {@link composeMessage}. */
+export interface MessageOptions {
+  /** Name of the receiving entry; undefined if it is not known yet. */
   target: string | undefined;
-  /** Digests that may be passed on to the target. */
+  /** Digests that may be relayed to the target. */
   relayed: readonly PeerRecord[];
   summaries: readonly DomainSummary[];
-  /** A heartbeat is passed on when it is newer by this than the one that the target holds. */
+  /** A heartbeat is relayed only if it is newer by more than this than the one the target holds. */
   heartbeatGapMs: Milliseconds;
-  /** Length of the message before it is encoded. */
+  /** Maximum length of the message as JSON, before compression. */
   budgetBytes: number;
 }
 
 /**
- * The message for a target: this entry's own digest, then what the target is not known to hold,
- * while the budget lasts. Contents go before summaries and those before mere heartbeats.
+ * Composes the message for a target: this entry's own digest, then everything that the target is not
+ * known to hold and that fits the budget. Digests with content take precedence over summaries, and
+ * summaries over heartbeats.
  */
 export function composeMessage(
   state: GossipState,
-  question: MessageQuestion,
+  options: MessageOptions,
   now: Milliseconds,
 ): DigestMessage {
-  const { target, summaries, budgetBytes } = question;
-  const held = target === undefined ? undefined : state.held.get(target);
-  const own = describeRecord(state.self, held, now);
+  const { target, summaries, budgetBytes } = options;
+  const acknowledged = target === undefined ? undefined : state.acknowledged.get(target);
+  const own = toDigest(state.self, acknowledged, now);
   const message: DigestMessage = { digests: [own], summaries: [] };
-  let left = budgetBytes - measureLength(own);
-  const take = (list: unknown[], value: unknown): void => {
-    const length = measureLength(value);
-    if (length > left || list.length >= MESSAGE_LIST_LENGTH) return;
-    left -= length;
+  let remainingBytes = budgetBytes - encodedLength(own);
+  const appendIfFits = (list: unknown[], value: unknown): void => {
+    const length = encodedLength(value);
+    if (length > remainingBytes || list.length >= MAX_MESSAGE_LIST_LENGTH) return;
+    remainingBytes -= length;
     list.push(value);
   };
-  const news = listNews(question, held, now);
-  for (const digest of news) if (digest.content !== undefined) take(message.digests, digest);
-  for (const summary of summaries) take(message.summaries, summary);
-  for (const digest of news) if (digest.content === undefined) take(message.digests, digest);
+  const pending = listUnacknowledgedDigests(options, acknowledged, now);
+  for (const digest of pending)
+    if (digest.content !== undefined) appendIfFits(message.digests, digest);
+  for (const summary of summaries) appendIfFits(message.summaries, summary);
+  for (const digest of pending)
+    if (digest.content === undefined) appendIfFits(message.digests, digest);
   return message;
 }
 
-/** Digests that the target is not known to hold, the latest first. */
-function listNews(
-  { target, relayed, heartbeatGapMs }: MessageQuestion,
-  held: ReadonlyMap<string, HeldDigest> | undefined,
+/** Lists the digests that the target is not known to hold, latest first. */
+function listUnacknowledgedDigests(
+  { target, relayed, heartbeatGapMs }: MessageOptions,
+  acknowledged: ReadonlyMap<string, DigestVersion> | undefined,
   now: Milliseconds,
 ): Digest[] {
-  const news = relayed.filter((record) => {
-    const known = held?.get(record.name);
+  const pending = relayed.filter((record) => {
+    const known = acknowledged?.get(record.name);
     if (record.name === target) return false;
     if (known?.incarnation !== record.incarnation) return true;
     return known.change < record.change || record.heardAt - known.madeAt > heartbeatGapMs;
   });
-  news.sort((a, b) => b.heardAt - a.heardAt);
-  return news.map((record) => describeRecord(record, held, now));
+  pending.sort((a, b) => b.heardAt - a.heardAt);
+  return pending.map((record) => toDigest(record, acknowledged, now));
 }
 
-/** Length of a value on the wire, in bytes; names are ASCII. */
-function measureLength(value: unknown): number {
+/** Length of a value in a JSON list, including the comma. Names are ASCII, so characters are bytes. */
+function encodedLength(value: unknown): number {
   return JSON.stringify(value).length + 1;
 }
 
-function describeRecord(
+function toDigest(
   record: PeerRecord,
-  held: ReadonlyMap<string, HeldDigest> | undefined,
+  acknowledged: ReadonlyMap<string, DigestVersion> | undefined,
   now: Milliseconds,
 ): Digest {
   const { name, incarnation, sequence, change, content, heardAt } = record;
-  const known = held?.get(name);
+  const known = acknowledged?.get(name);
   const holdsContent = known?.incarnation === incarnation && known.change === change;
   const heartbeat = { name, incarnation, sequence, change, ageMs: Math.round(now - heardAt) };
   return holdsContent ? heartbeat : { ...heartbeat, content };
 }
 
 /**
- * Believes what is newer in `message`. Duplicates, digests in the wrong order and digests of this
- * entry itself change nothing.
+ * Merges the newer digests and summaries of `message` into the state. Duplicates, out-of-order
+ * digests and digests of this entry itself have no effect.
  */
 export function receiveMessage(
   state: GossipState,
@@ -168,83 +171,89 @@
   const from = first?.name ?? '';
   const updated: PeerRecord[] = [];
   for (const digest of message.digests) {
-    const before = state.peers.get(digest.name);
-    const record = judgeDigest(before, digest, digest === first, now);
+    const previous = state.peers.get(digest.name);
+    const record = mergeDigest(previous, digest, digest === first, now);
     if (record !== undefined && digest.name !== state.self.name) {
-      // Another start of the entry holds nothing of what the former one held.
-      if (before?.incarnation !== record.incarnation) state.held.delete(record.name);
+      // A new incarnation holds none of the digests that the previous one held.
+      if (previous?.incarnation !== record.incarnation) state.acknowledged.delete(record.name);
       state.peers.set(digest.name, record);
       updated.push(record);
     }
-    noteHeld(state, from, digest, now);
+    recordAcknowledged(state, from, digest, now);
   }
   for (const summary of message.summaries) receiveSummary(state, summary, now);
   return { from, updated };
 }
 
-/** The record that `digest` makes, or undefined when it is old or cannot be understood yet. */
-function judgeDigest(
-  before: PeerRecord | undefined,
+/** Returns the record for `digest`, or undefined if it is stale or its content is unknown here. */
+function mergeDigest(
+  previous: PeerRecord | undefined,
   digest: Digest,
   isDirect: boolean,
   now: Milliseconds,
 ): PeerRecord | undefined {
   const { name, incarnation, sequence, change } = digest;
   const heardAt = now - digest.ageMs;
-  const isSameStart = before?.incarnation === incarnation;
-  if (isSameStart && sequence <= before.sequence) return undefined;
-  if (before !== undefined && !isSameStart && !isLater(heardAt, before, isDirect)) return undefined;
-  const keepsContent = isSameStart && before.change === change;
-  const content = digest.content ?? (keepsContent ? before.content : undefined);
-  // A heartbeat of a content that was never received says only that somebody lives. Taking it with
-  // the former content would pass that content off as current.
+  const isSameIncarnation = previous?.incarnation === incarnation;
+  if (isSameIncarnation && sequence <= previous.sequence) return undefined;
+  if (previous !== undefined && !isSameIncarnation && !isNewer(heardAt, previous, isDirect))
+    return undefined;
+  const canReuseContent = isSameIncarnation && previous.change === change;
+  const content = digest.content ?? (canReuseContent ? previous.content : undefined);
+  // A heartbeat whose content was never received only proves that the entry is alive. Combining it
+  // with the previous content would present outdated content as current.
   if (content === undefined) return undefined;
   const record = { name, incarnation, sequence, change, content, heardAt };
-  const directAt = isDirect ? now : isSameStart ? before.directAt : undefined;
-  return directAt === undefined ? record : { ...record, directAt };
+  const heardDirectlyAt = isDirect ? now : isSameIncarnation ? previous.heardDirectlyAt : undefined;
+  return heardDirectlyAt === undefined ? record : { ...record, heardDirectlyAt };
 }
 
-/** Between two starts the later digest counts; at the same instant, the entry's own word. */
-function isLater(heardAt: Milliseconds, before: PeerRecord, isDirect: boolean): boolean {
-  return isDirect ? heardAt >= before.heardAt : heardAt > before.heardAt;
+/** Between incarnations the later digest wins; at the same time, the one sent by the entry itself. */
+function isNewer(heardAt: Milliseconds, previous: PeerRecord, isDirect: boolean): boolean {
+  return isDirect ? heardAt >= previous.heardAt : heardAt > previous.heardAt;
 }
 
-/** Notes that `peer` holds `digest`: it sent it, or it took a message with it. */
-function noteHeld(state: GossipState, peer: string, digest: Digest, now: Milliseconds): void {
-  const held = state.held.get(peer) ?? new Map<string, HeldDigest>();
-  state.held.set(peer, held);
+/** Records that `peer` holds `digest`, because it sent it or acknowledged a message containing it. */
+function recordAcknowledged(
+  state: GossipState,
+  peer: string,
+  digest: Digest,
+  now: Milliseconds,
+): void {
+  const acknowledged = state.acknowledged.get(peer) ?? new Map<string, DigestVersion>();
+  state.acknowledged.set(peer, acknowledged);
   const { name, incarnation, sequence, change } = digest;
-  const before = held.get(name);
-  if (before?.incarnation === incarnation && before.sequence > sequence) return;
-  held.set(name, { incarnation, sequence, change, madeAt: now - digest.ageMs });
+  const previous = acknowledged.get(name);
+  if (previous?.incarnation === incarnation && previous.sequence > sequence) return;
+  acknowledged.set(name, { incarnation, sequence, change, madeAt: now - digest.ageMs });
 }
 
-/** Call when `peer` has answered: it has taken all of `message`. */
+/** Records that `peer` holds every digest of `message`. Call when it has answered the message. */
 export function confirmMessage(
   state: GossipState,
   peer: string,
   message: DigestMessage,
   now: Milliseconds,
 ): void {
-  for (const digest of message.digests) noteHeld(state, peer, digest, now);
+  for (const digest of message.digests) recordAcknowledged(state, peer, digest, now);
 }
 
 function receiveSummary(state: GossipState, summary: DomainSummary, now: Milliseconds): void {
   if (summary.failureDomain === state.self.content.failureDomain) return;
   const madeAt = now - summary.ageMs;
-  const before = state.summaries.get(summary.failureDomain);
-  if (before !== undefined && before.madeAt >= madeAt) return;
+  const previous = state.summaries.get(summary.failureDomain);
+  if (previous !== undefined && previous.madeAt >= madeAt) return;
   state.summaries.set(summary.failureDomain, { summary, madeAt });
 }
 
-/** Forgets entries unheard since `horizon`, and what they held. */
-export function forgetPeers(state: GossipState, horizon: Milliseconds): void {
+/** Removes peers and summaries that have not been updated since `cutoff`. */
+export function forgetPeers(state: GossipState, cutoff: Milliseconds): void {
   for (const [name, record] of state.peers) {
-    if (record.heardAt >= horizon) continue;
+    if (record.heardAt >= cutoff) continue;
     state.peers.delete(name);
-    state.held.delete(name);
+    state.acknowledged.delete(name);
   }
   for (const [domain, record] of state.summaries) {
-    if (record.madeAt < horizon) state.summaries.delete(domain);
+    if (record.madeAt < cutoff) state.summaries.delete(domain);
   }
 }
--- a/src/controllers/membership/messages.ts
+++ b/src/controllers/membership/messages.ts
@@ -1,40 +1,41 @@
 /**
- * What entries tell each other, as it goes over the wire. All of it is bounded.
+ * Schemas of the gossip messages between entries. Every field is bounded in size.
  *
- * A digest has two halves: a short heartbeat, and a content that is sent only to a peer that does
- * not hold its current `change`. Instants never cross: `ageMs` is how old the digest is when sent.
+ * A digest consists of a short heartbeat and a content, which is sent only to a peer that does not
+ * hold its current `change`. Messages carry ages rather than timestamps, since clocks differ:
+ * `ageMs` is the age of the digest when it is sent.
  */
 import * as z from 'zod';
 import { incarnationSchema, nameSchema } from '../../objects/index.js';
 
-/** Most entries of each list in a digest; a list that is longer is cut, which is always safe. */
-export const DIGEST_LIST_LENGTH = 64;
-/** Most digests, and most summaries, of one message. */
-export const MESSAGE_LIST_LENGTH = 64;
-/** Longest extension of a digest, as JSON text. */
+/** Maximum length of each list in a digest; longer lists are truncated, which is always safe. */
+export const MAX_DIGEST_LIST_LENGTH = 64;
+/** Maximum number of digests, and of summaries, in one message. */
+export const MAX_MESSAGE_LIST_LENGTH = 64;
+/** Maximum length of a digest extension as JSON text. */
 export const EXTENSION_LENGTH = 1_500;
-/** Longest message accepted, in bytes. */
+/** Maximum size of an accepted message. */
 export const MESSAGE_BYTES = 65_536;
-/** Entries named in a domain's summary. */
-export const SUMMARY_NAMES = 8;
+/** Maximum number of entries listed as behind in a domain summary. */
+export const MAX_SUMMARY_BEHIND = 8;
 
 const count = z.number().int().nonnegative();
-const age = z.number().nonnegative();
+const nonNegative = z.number().nonnegative();
 const address = z
   .string()
   .max(60)
   .regex(/^[^:\s]+:\d{1,5}$/);
 
-/** An instance that somebody saw leaving, and what was known of it at that time. */
+/** Marks an instance as leaving, as observed by some entry. */
 export const leavingMarkSchema = z.strictObject({
   instance: nameSchema,
-  /** The version of the instance in the platform's list when the mark was made. */
+  /** The version of the instance in the platform's list when the mark was created. */
   version: count,
-  /** The start of the instance that is leaving, when it said so itself. */
+  /** The incarnation that is leaving; present only if the instance reported it itself. */
   incarnation: incarnationSchema.optional(),
 });
 
-/** Requests in flight at one instance or replica. */
+/** Number of requests in flight at one instance or replica. */
 export const inFlightSchema = z.strictObject({ target: nameSchema, count });
 
 const sentSchema = z.strictObject({
@@ -46,70 +47,70 @@
 
 const demandSchema = z.strictObject({
   workspace: nameSchema,
-  requestsPerSecond: age,
-  tokensPerSecond: age,
+  requestsPerSecond: nonNegative,
+  tokensPerSecond: nonNegative,
   concurrentRequests: count,
 });
 
 const extension = z.string().max(EXTENSION_LENGTH);
 
-/** What an entry says of itself beside the fact that it lives. */
+/** The state that an entry publishes about itself. */
 export const digestContentSchema = z.strictObject({
   peerAddress: address,
   region: nameSchema,
   failureDomain: nameSchema,
   /** The configuration revision in force. */
   revision: count,
-  /** The newest object version held here, when it is beyond the revision. */
+  /** The newest object version held by the entry; present only if beyond the revision. */
   newest: count.optional(),
   ready: z.boolean(),
   stopping: z.boolean(),
-  /** Whether its own watch of the platform is answered; `unwatched` when others watch for it. */
+  /** Whether the platform answers the entry's own watch; `unwatched` if others watch for it. */
   platform: z.enum(['reached', 'unreached', 'unwatched']),
   /**
-   * For each target that it knows to be draining, also those with none in flight. That a target is
-   * named here proves that the entry sends nothing more to it.
+   * Every target that the entry knows to be draining, including those with none in flight. A target
+   * listed here receives no new requests from the entry.
    */
-  draining: z.array(inFlightSchema).max(DIGEST_LIST_LENGTH),
-  sent: z.array(sentSchema).max(DIGEST_LIST_LENGTH),
-  demands: z.array(demandSchema).max(DIGEST_LIST_LENGTH),
-  leaving: z.array(leavingMarkSchema).max(DIGEST_LIST_LENGTH),
-  /** What other controllers add, each as JSON text of its own schema. */
+  draining: z.array(inFlightSchema).max(MAX_DIGEST_LIST_LENGTH),
+  sent: z.array(sentSchema).max(MAX_DIGEST_LIST_LENGTH),
+  demands: z.array(demandSchema).max(MAX_DIGEST_LIST_LENGTH),
+  leaving: z.array(leavingMarkSchema).max(MAX_DIGEST_LIST_LENGTH),
+  /** Data of other controllers, each as JSON text with its own schema. */
   extensions: z.strictObject({ health: extension.optional(), limits: extension.optional() }),
 });
 
-/** One entry's digest, first-hand or passed on. */
+/** The digest of one entry, sent by the entry itself or relayed. */
 export const digestSchema = z.strictObject({
   name: nameSchema,
   incarnation: incarnationSchema,
-  /** Grows with every round of the entry. */
+  /** Incremented in every gossip round of the entry. */
   sequence: count,
-  /** Grows when the content changes. */
+  /** Incremented whenever the content changes. */
   change: count,
-  ageMs: age,
+  ageMs: nonNegative,
   content: digestContentSchema.optional(),
 });
 
-/** A failure domain as one of its entries sees it, for the entries of other domains. */
+/** The state of a failure domain as seen by one of its entries, for entries of other domains. */
 export const domainSummarySchema = z.strictObject({
   failureDomain: nameSchema,
-  ageMs: age,
-  /** Live entries of the domain. */
+  ageMs: nonNegative,
+  /** Number of entries of the domain, listed or live. */
   entries: count,
-  /** Every live entry of the domain has this revision in force. */
+  /** The lowest revision that any entry of the domain has in force; 0 for an entry not heard from. */
   revision: count,
-  /** Entries that have less than the most that is known, at most a few by name. */
+  /** Entries whose revision is below the newest in the domain, lowest first; truncated. */
   behind: z
     .array(z.strictObject({ name: nameSchema, revision: count.optional() }))
-    .max(SUMMARY_NAMES),
-  /** Targets at which every live entry of the domain has none in flight. */
-  drained: z.array(nameSchema).max(DIGEST_LIST_LENGTH),
+    .max(MAX_SUMMARY_BEHIND),
+  /** Draining targets at which no entry of the domain has requests in flight. */
+  drained: z.array(nameSchema).max(MAX_DIGEST_LIST_LENGTH),
 });
 
-/** One half of an exchange. The first digest is the sender's own. */
+/** The request or the response of an exchange. The first digest is the sender's own. */
 export const digestMessageSchema = z.strictObject({
-  digests: z.array(digestSchema).min(1).max(MESSAGE_LIST_LENGTH),
-  summaries: z.array(domainSummarySchema).max(MESSAGE_LIST_LENGTH),
+  digests: z.array(digestSchema).min(1).max(MAX_MESSAGE_LIST_LENGTH),
+  summaries: z.array(domainSummarySchema).max(MAX_MESSAGE_LIST_LENGTH),
 });
 
 export type LeavingMark = z.infer<typeof leavingMarkSchema>;
--- a/src/controllers/membership/peers.ts
+++ b/src/controllers/membership/peers.ts
@@ -1,21 +1,21 @@
 /**
- * What the gossip says of the other entries, for the board and for pulling configuration.
+ * Derives the `peers` section and the source of configuration pulls from the gossip state.
  */
 import type { Peer, Peers } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Random } from '../../core/random/index.js';
 import type { GossipState, PeerRecord } from './gossip.js';
 
-/** Peers that must hold this entry's stopping digest before it may rely on gossip for the rest. */
-const INFORMED_PEERS = 2;
+/** Peers that must hold a change of this entry before gossip is relied on to reach the others. */
+const MIN_INFORMED_PEERS = 2;
 
-/** The `peers` section: entries heard within `forgetMs`. */
+/** Builds the `peers` section: the entries heard from within `forgetMs`. */
 export function listPeers(state: GossipState, forgetMs: Milliseconds, now: Milliseconds): Peers {
   const live = listLive(state, forgetMs, now);
   return new Map(live.map((record) => [record.name, describePeer(record)] as const));
 }
 
-/** Entries heard within `forgetMs`. */
+/** Lists the entries heard from within `forgetMs`. */
 export function listLive(
   state: GossipState,
   forgetMs: Milliseconds,
@@ -24,7 +24,7 @@
   return [...state.peers.values()].filter((record) => now - record.heardAt <= forgetMs);
 }
 
-/** Entries that said that they stop and have not been heard for `forgetMs`. */
+/** Lists the entries that announced their stop and have not been heard from for `forgetMs`. */
 export function listDeparted(
   state: GossipState,
   forgetMs: Milliseconds,
@@ -53,25 +53,28 @@
   };
 }
 
-/** What is missing here, and who was heard. */
-export interface PullQuestion {
+/** Options of {@link choosePullSource}. */
+export interface PullSourceOptions {
   live: readonly PeerRecord[];
-  /** The configuration revision in force here. */
+  /** The configuration revision in force at this entry. */
   revision: number;
-  /** The newest object version held here. */
+  /** The newest object version held by this entry. */
   newest: number;
-  /** Any peer that is ready has something that is missing here. */
+  /** Whether to pull from any ready peer, even one with no newer revision or version. */
   needsPeer: boolean;
-  /** Who has just been heard. */
+  /** Name of the peer whose message was just received. */
   heard: string;
 }
 
 /**
- * The peer to ask for configuration that is missing here: who has just been heard first, else any
- * that has more; undefined when nobody has.
+ * Chooses the peer to pull missing configuration from: preferably the one just heard from, otherwise
+ * a random peer that is ahead; undefined if none is.
  */
-export function choosePullSource(question: PullQuestion, random: Random): PeerRecord | undefined {
-  const { live, revision, newest, needsPeer, heard } = question;
+export function choosePullSource(
+  options: PullSourceOptions,
+  random: Random,
+): PeerRecord | undefined {
+  const { live, revision, newest, needsPeer, heard } = options;
   const ahead = live.filter(
     ({ content }) =>
       content.revision > revision || (content.newest ?? 0) > newest || (needsPeer && content.ready),
@@ -82,22 +85,22 @@
 }
 
 /**
- * Whether a peer that is ready has been heard and nothing that ready peers have in force is
- * missing here.
+ * Whether at least one ready peer is known and this entry has everything that ready peers have in
+ * force.
  */
 export function hasCaughtUp(
   live: readonly PeerRecord[],
   revision: number,
   newest: number,
 ): boolean {
-  const ready = live.filter((record) => record.content.ready);
-  const isBehind = ready.some(
+  const readyPeers = live.filter((record) => record.content.ready);
+  const isBehind = readyPeers.some(
     ({ content }) => content.revision > revision || (content.newest ?? 0) > newest,
   );
-  return ready.length > 0 && !isBehind;
+  return readyPeers.length > 0 && !isBehind;
 }
 
-/** Whether enough peers hold this entry's own digest of `change` or later. */
+/** Whether enough peers hold this entry's own digest with `change` or a later one. */
 export function isOwnChangeKnown(
   state: GossipState,
   change: number,
@@ -107,8 +110,8 @@
   const { name, incarnation } = state.self;
   const live = listLive(state, forgetMs, now).filter((record) => !record.content.stopping);
   const informed = live.filter((record) => {
-    const held = state.held.get(record.name)?.get(name);
+    const held = state.acknowledged.get(record.name)?.get(name);
     return held?.incarnation === incarnation && held.change >= change;
   });
-  return informed.length >= Math.min(INFORMED_PEERS, live.length);
+  return informed.length >= Math.min(MIN_INFORMED_PEERS, live.length);
 }
--- a/src/controllers/membership/rendezvous.ts
+++ b/src/controllers/membership/rendezvous.ts
@@ -1,15 +1,15 @@
 /**
- * Rendezvous hashing: a stable choice among names on which all agree who see the same names.
+ * Rendezvous hashing: every process that knows the same names makes the same stable choice.
  */
 
-const OFFSET = 0x811c9dc5;
-const PRIME = 0x01000193;
+const FNV_OFFSET_BASIS = 0x811c9dc5;
+const FNV_PRIME = 0x01000193;
 
-/** 32-bit FNV-1a with a final mix, so that names that differ in the last letter spread as well. */
+/** 32-bit FNV-1a with a finalizer, so that names that differ only in the last character spread. */
 function hashText(text: string): number {
-  let hash = OFFSET;
+  let hash = FNV_OFFSET_BASIS;
   for (let index = 0; index < text.length; index += 1) {
-    hash = Math.imul(hash ^ text.charCodeAt(index), PRIME);
+    hash = Math.imul(hash ^ text.charCodeAt(index), FNV_PRIME);
   }
   hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b);
   hash = Math.imul(hash ^ (hash >>> 13), 0xc2b2ae35);
@@ -17,25 +17,26 @@
 }
 
 /**
- * The strongest claim on `key`; undefined when there are no names. What {@link rankByRendezvous} puts
- * first, without an order of the others.
+ * Returns the name with the highest weight for `key`, which {@link rankByRendezvous} ranks first;
+ * undefined if `names` is empty.
  */
 export function findByRendezvous(names: readonly string[], key: string): string | undefined {
-  let first: string | undefined;
-  let most = -1;
+  let best: string | undefined;
+  let bestWeight = -1;
   for (const name of names) {
     const weight = hashText(`${key}\u0000${name}`);
-    const isFirst = weight > most || (weight === most && first !== undefined && name < first);
-    if (!isFirst) continue;
-    first = name;
-    most = weight;
+    const isBetter =
+      weight > bestWeight || (weight === bestWeight && best !== undefined && name < best);
+    if (!isBetter) continue;
+    best = name;
+    bestWeight = weight;
   }
-  return first;
+  return best;
 }
 
 /**
- * `names` in the order of their claim on `key`, strongest first. When one name goes, only what it
- * held moves.
+ * Sorts `names` by their weight for `key`, highest first. Removing a name only reassigns the keys
+ * that it was ranked first for.
  *
  * @example rankByRendezvous(['entry-1', 'entry-2'], 'fabric-a')[0]
  */
--- a/src/controllers/membership/round-planning.ts
+++ b/src/controllers/membership/round-planning.ts
@@ -1,29 +1,29 @@
 /**
- * Which peers a round of digests goes to, within a budget of bytes per second.
+ * Chooses the targets of each gossip round within a budget of bytes per second.
  *
- * Every entry sends the same number of bytes a second however many entries there are: the fan-out
- * is fixed, a message has a bound, and a round is skipped while the budget is used up.
+ * The traffic of an entry does not grow with the fleet: the fan-out is fixed, the message size is
+ * limited, and rounds are skipped while the budget is exhausted.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Random } from '../../core/random/index.js';
 import type { PeerRecord } from './gossip.js';
 
-/** Up to this many other entries each one hears of all exactly; beyond, of its own domain. */
-const EXACT_ENTRIES = 32;
-/** Of the targets of a large fleet, the fraction in the own failure domain. */
+/** With more other entries than this, digests are relayed only within a failure domain. */
+const MAX_FULL_GOSSIP_ENTRIES = 32;
+/** In a large fleet, the fraction of targets chosen from the entry's own failure domain. */
 const OWN_DOMAIN_FRACTION = 0.75;
-/** Bytes that may be saved up for a round that has news. */
+/** Capacity of the byte budget, in seconds of its rate. */
 export const BURST_SECONDS = 2;
-/** Of these, what is kept for news. */
-const NEWS_SECONDS = 1;
-const SECOND = 1_000;
+/** Part of the budget reserved for rounds with updates, in seconds of its rate. */
+const UPDATE_RESERVE_SECONDS = 1;
+const MS_PER_SECOND = 1_000;
 
-/** Whether entries of other failure domains are known by summaries only. */
+/** Whether entries of other failure domains are known only through summaries. */
 export function isLargeFleet(otherEntries: number): boolean {
-  return otherEntries > EXACT_ENTRIES;
+  return otherEntries > MAX_FULL_GOSSIP_ENTRIES;
 }
 
-/** An address that a digest may go to. */
+/** An address to which digests may be sent. */
 export interface RoundTarget {
   address: string;
   /** Absent for an address from the settings whose entry is not known yet. */
@@ -31,84 +31,88 @@
   failureDomain?: string;
 }
 
-/** Bytes that may still be sent. Sent bytes may take it below zero; rounds wait then. */
+/** A token bucket of bytes. It may be overdrawn; rounds then wait until it is refilled. */
 export interface ByteBudget {
   left: number;
   at: Milliseconds;
 }
 
-/** `budget` after the time since it was looked at last. */
+/** Refills `budget` for the time since its last refill, up to its capacity. */
 export function refillBudget(
   budget: ByteBudget,
   bytesPerSecond: number,
   now: Milliseconds,
 ): ByteBudget {
-  const gained = ((now - budget.at) / SECOND) * bytesPerSecond;
-  return { left: Math.min(budget.left + gained, bytesPerSecond * BURST_SECONDS), at: now };
+  const refilled = ((now - budget.at) / MS_PER_SECOND) * bytesPerSecond;
+  return { left: Math.min(budget.left + refilled, bytesPerSecond * BURST_SECONDS), at: now };
 }
 
 /**
- * Bytes that a round may take. Without news it leaves those of one second: a failure, a leaving
- * instance or a change of configuration would otherwise wait for the bytes that heartbeats used up.
+ * Returns the bytes that a round may spend. A round without updates leaves a reserve, so that a
+ * failure, a leaving instance or a configuration change need not wait for the budget to be refilled.
  *
  * @example const bytesLeft = findSpendable(budget, bytesPerSecond, hasNews);
  */
 export function findSpendable(
   budget: ByteBudget,
   bytesPerSecond: number,
-  hasNews: boolean,
+  hasUpdates: boolean,
 ): number {
-  return hasNews ? budget.left : budget.left - bytesPerSecond * NEWS_SECONDS;
+  return hasUpdates ? budget.left : budget.left - bytesPerSecond * UPDATE_RESERVE_SECONDS;
 }
 
-/** What a round is planned from. */
-export interface RoundQuestion {
+/** Options of {@link planRound}. */
+export interface RoundOptions {
   failureDomain: string;
   targets: readonly RoundTarget[];
   fanOut: number;
-  /** Bytes that may be sent now, and that one exchange is expected to take. */
   bytesLeft: number;
+  /** Expected size of one exchange. */
   bytesPerExchange: number;
 }
 
-/** Targets of this round; none while the budget is used up. */
-export function planRound(question: RoundQuestion, random: Random): RoundTarget[] {
-  const affordable = Math.floor(question.bytesLeft / question.bytesPerExchange);
-  const wanted = Math.min(question.fanOut, affordable, question.targets.length);
-  const pool = [...question.targets];
+/** Chooses the targets of a round; none while the budget is exhausted. */
+export function planRound(options: RoundOptions, random: Random): RoundTarget[] {
+  const affordable = Math.floor(options.bytesLeft / options.bytesPerExchange);
+  const wanted = Math.min(options.fanOut, affordable, options.targets.length);
+  const pool = [...options.targets];
   const chosen: RoundTarget[] = [];
   while (chosen.length < wanted) {
-    const index = pickIndex(pool, question, random);
+    const index = pickTargetIndex(pool, options, random);
     chosen.push(...pool.splice(index, 1));
   }
   return chosen;
 }
 
-function pickIndex(pool: readonly RoundTarget[], question: RoundQuestion, random: Random): number {
-  if (!isLargeFleet(question.targets.length)) return random.below(pool.length);
+function pickTargetIndex(
+  pool: readonly RoundTarget[],
+  options: RoundOptions,
+  random: Random,
+): number {
+  if (!isLargeFleet(options.targets.length)) return random.below(pool.length);
   const wantsOwn = random.fraction() < OWN_DOMAIN_FRACTION;
   const indices = pool.flatMap((target, index) => {
-    const isOwn = target.failureDomain === question.failureDomain;
+    const isOwn = target.failureDomain === options.failureDomain;
     return isOwn === wantsOwn ? [index] : [];
   });
   return indices[random.below(Math.max(indices.length, 1))] ?? random.below(pool.length);
 }
 
-/** Who passes digests on to whom, in a fleet of which size. */
-export interface RelayQuestion {
+/** Options of the selection of digests to relay. */
+export interface RelayOptions {
   peers: readonly PeerRecord[];
   isLarge: boolean;
   failureDomain: string;
-  /** Undefined when it is not known. */
+  /** Failure domain of the target; undefined if not known. */
   targetDomain: string | undefined;
 }
 
 /**
- * The digests that may be passed on to an entry of `targetDomain`: all in a small fleet, those of
- * the common domain in a large one, where summaries stand for the others.
+ * Lists the digests that may be relayed to an entry of `targetDomain`: all of them in a small fleet;
+ * in a large one, only those of a shared domain, since summaries cover the others.
  */
-export function listRelayed(question: RelayQuestion): readonly PeerRecord[] {
-  const { peers, isLarge, failureDomain, targetDomain } = question;
+export function listRelayed(options: RelayOptions): readonly PeerRecord[] {
+  const { peers, isLarge, failureDomain, targetDomain } = options;
   if (!isLarge) return peers;
   if (targetDomain !== failureDomain) return [];
   return peers.filter((peer) => peer.content.failureDomain === failureDomain);
--- a/src/controllers/membership/watchers.ts
+++ b/src/controllers/membership/watchers.ts
@@ -1,28 +1,28 @@
 /**
- * Which entries watch the platform. The rest learn from them.
+ * Chooses the entries that watch the platform; the others receive changes from them.
  */
 import type { Fleet } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { PeerRecord } from './gossip.js';
 import { rankByRendezvous } from './rendezvous.js';
 
-/** Entries of each failure domain that watch the platform. */
+/** Number of entries in each failure domain that watch the platform. */
 export const WATCHERS_PER_DOMAIN = 2;
 
-/** Watch calls a second that changes may cause at the platform, by all entries together. */
-const WATCH_CALLS_PER_SECOND = 800;
-const LEAST_PAUSE_MS = 100;
-const SECOND = 1_000;
+/** Maximum rate of watch calls at the platform caused by changes, for all entries together. */
+const MAX_WATCH_CALLS_PER_SECOND = 800;
+const MIN_WATCH_DELAY_MS = 100;
+const MS_PER_SECOND = 1_000;
 
-/** An entry and the failure domain it runs in. */
-export interface EntryPlace {
+/** An entry and its failure domain. */
+export interface EntryLocation {
   name: string;
   failureDomain: string;
 }
 
-/** The entries of `failureDomain` that watch the platform, by rendezvous over the live ones. */
+/** Chooses the entries of `failureDomain` that watch the platform, by rendezvous hashing. */
 export function chooseWatchers(
-  entries: readonly EntryPlace[],
+  entries: readonly EntryLocation[],
   failureDomain: string,
   perDomain: number = WATCHERS_PER_DOMAIN,
 ): string[] {
@@ -30,29 +30,29 @@
   return rankByRendezvous(names, `watchers/${failureDomain}`).slice(0, perDomain);
 }
 
-/** Entries in the platform's list. */
+/** Counts the entries in the platform's instance list. */
 export function countEntries(fleet: Fleet): number {
   return [...fleet.instances.values()].filter(({ role }) => role === 'entry').length;
 }
 
 /**
- * How long an entry waits after a change before it watches on, when all of them watch.
+ * Returns the delay between a change and an entry's next watch call when all entries watch.
  *
- * The failure guarded against: each of many entries makes as many calls as there are changes a
- * second, and the platform refuses the calls of all. With the pause, changes are gathered.
+ * Without it, each entry makes one call per change, and a large fleet exceeds the platform's rate
+ * limit. Changes during the delay are delivered together.
  *
  * @example const pauseMs = findWatchPause(peers.size + 1);
  */
 export function findWatchPause(entries: number): Milliseconds {
-  return Math.max(LEAST_PAUSE_MS, (entries / WATCH_CALLS_PER_SECOND) * SECOND);
+  return Math.max(MIN_WATCH_DELAY_MS, (entries / MAX_WATCH_CALLS_PER_SECOND) * MS_PER_SECOND);
 }
 
-/** What the decision to watch rests on. */
-export interface WatchQuestion {
-  self: EntryPlace;
-  /** All entries heard, with the time of hearing. */
+/** Options of {@link shouldWatch}. */
+export interface WatchOptions {
+  self: EntryLocation;
+  /** All known peers, including silent ones. */
   peers: readonly PeerRecord[];
-  /** A peer unheard for longer is not counted. */
+  /** Peers that have been silent for longer are ignored. */
   forgetMs: Milliseconds;
   perDomain?: number;
 }
@@ -60,19 +60,18 @@
 /**
  * Whether this entry has to watch the platform itself.
  *
- * It does when it is chosen, and whenever no live peer says that it reaches the platform. That
- * covers the entry that hears nobody and the one whose chosen watchers are all cut off from the
- * platform while it is not itself.
+ * It does if it is one of the chosen watchers, or if no live peer reports that it reaches the
+ * platform. The latter covers an isolated entry and one whose watchers have all lost the platform.
  */
-export function shouldWatch(question: WatchQuestion, now: Milliseconds): boolean {
-  const { self, forgetMs } = question;
-  const live = question.peers.filter((peer) => isWatchingPeer(peer, now - forgetMs));
+export function shouldWatch(options: WatchOptions, now: Milliseconds): boolean {
+  const { self, forgetMs } = options;
+  const live = options.peers.filter((peer) => isActivePeer(peer, now - forgetMs));
   if (!live.some((peer) => peer.content.platform === 'reached')) return true;
-  const places = live.map((p) => ({ name: p.name, failureDomain: p.content.failureDomain }));
-  const chosen = chooseWatchers([...places, self], self.failureDomain, question.perDomain);
-  return chosen.includes(self.name);
+  const locations = live.map((p) => ({ name: p.name, failureDomain: p.content.failureDomain }));
+  const watchers = chooseWatchers([...locations, self], self.failureDomain, options.perDomain);
+  return watchers.includes(self.name);
 }
 
-function isWatchingPeer(peer: PeerRecord, horizon: Milliseconds): boolean {
-  return peer.heardAt >= horizon && !peer.content.stopping;
+function isActivePeer(peer: PeerRecord, cutoff: Milliseconds): boolean {
+  return peer.heardAt >= cutoff && !peer.content.stopping;
 }
