--- a/features/health/health-digests.steps.ts
+++ b/features/health/health-digests.steps.ts
@@ -25,23 +25,23 @@
 const FRESH_MS = 2_000;
 const PROBE_MS = 500;
 const WITHIN_MS = 750;
-const START = 100_000;
+const START_MS = 100_000;
 const MEMBERS = ['engine-0', 'engine-1', 'engine-2'];
-const DEAD = 'engine-1';
+const FAILED_MEMBER = 'engine-1';
 
-interface PassingWorld {
+interface HealthDigestWorld {
   now: number;
   plans: Plans;
   health: Map<string, InstanceHealth>;
   digest: HealthDigest;
-  former: HealthDigest;
+  previousDigest: HealthDigest;
   engines: EngineStandIn[];
   client: ReturnType<typeof createEngineClient>;
-  passing: HealthPassing;
+  extension: HealthPassing;
   clock: ReturnType<typeof createManualClock>;
-  kept: number;
+  appliedReports: number;
   answers: { report: EngineReport; bytes: number }[];
-  counted: WeakMap<Socket, number>;
+  countedBytes: WeakMap<Socket, number>;
 }
 
 function createPlans(fence: number): Plans {
@@ -69,34 +69,34 @@
 
 function compose(plans: Plans, reports: readonly EngineReport[], textLength = 1_500) {
   const health = new Map(
-    reports.map((report) => [report.instance, recordReport(undefined, report, START)]),
+    reports.map((report) => [report.instance, recordReport(undefined, report, START_MS)]),
   );
   const assigned = health.keys();
   const source = { plans, health, assigned, failing: [], withinMs: WITHIN_MS, textLength };
-  return composeHealthDigest(source, START);
+  return composeHealthDigest(source, START_MS);
 }
 
-function receive(world: PassingWorld, digest: HealthDigest, ageMs: number): void {
+function receive(world: HealthDigestWorld, digest: HealthDigest, ageMs: number): void {
   const view = { plans: world.plans, readHealth: (name: string) => world.health.get(name) };
-  const failedBefore = new Set(world.former.failing);
-  const news = readHealthDigest(view, { digest, failedBefore, ageMs }, world.now);
-  for (const [name, known] of news.health) world.health.set(name, known);
-  world.former = digest;
+  const failedBefore = new Set(world.previousDigest.failing);
+  const update = readHealthDigest(view, { digest, failedBefore, ageMs }, world.now);
+  for (const [name, known] of update.health) world.health.set(name, known);
+  world.previousDigest = digest;
 }
 
-function countServing({ plans, health, now }: PassingWorld): number {
-  const described = { role: 'engine', address: '127.0.0.1:1', failureDomain: 'a' };
-  const instances = new Map(MEMBERS.map((name) => [name, instanceSchema.parse(described)]));
+function countServing({ plans, health, now }: HealthDigestWorld): number {
+  const engine = { role: 'engine', address: '127.0.0.1:1', failureDomain: 'a' };
+  const instances = new Map(MEMBERS.map((name) => [name, instanceSchema.parse(engine)]));
   const fleet = { revision: 1, instances, leaving: new Set<string>() };
   return listEligibleReplicas({ plans, fleet, health, load: new Map() }, now, FRESH_MS).length;
 }
 
-/** By default long after the entry's last own probes. */
-function listAsked({ health, now }: PassingWorld, askedAt = 0): string[] {
+/** Lists the members due for a probe; by default, the last probes are long past. */
+function listDueMembers({ health, now }: HealthDigestWorld, askedAt = 0): string[] {
   const states = new Map(MEMBERS.map((name) => [name, { askedAt, underWay: false }]));
   const assigned = new Set<string>();
-  const rhythm = { probeEveryMs: PROBE_MS, probeTimeoutMs: 400, freshMs: FRESH_MS };
-  return listDueProbes({ targets: MEMBERS, assigned, states, health, ...rhythm }, now);
+  const schedule = { probeEveryMs: PROBE_MS, probeTimeoutMs: 400, freshMs: FRESH_MS };
+  return listDueProbes({ targets: MEMBERS, assigned, states, health, ...schedule }, now);
 }
 
 const randomReport = fc.record({
@@ -104,124 +104,128 @@
   state: fc.constantFrom('idle', 'loading', 'ready', 'ready', 'ready', 'draining', 'failed'),
   rank: fc.constantFrom(0, 0, 1),
   fence: fc.constantFrom(6, 7, 7, 8),
-  seen: fc.constantFrom(7, 7, 8),
-  isFree: fc.constantFrom(false, false, true),
+  reportedFence: fc.constantFrom(7, 7, 8),
+  isUnassigned: fc.constantFrom(false, false, true),
   leaving: fc.constantFrom(false, false, true),
   inFlight: fc.nat(3),
   adapters: fc.constantFrom([], ['helpline']),
 });
 
-When("{int} random reports of one replica's engines are passed on", function (runs: number) {
-  let arrived = 0;
-  const property = fc.property(randomReport, ({ rank, seen, isFree, ...drawn }) => {
+When("{int} random reports of one replica's engines are relayed", function (runs: number) {
+  let decodedCount = 0;
+  const property = fc.property(randomReport, ({ rank, reportedFence, isUnassigned, ...drawn }) => {
     const { leaving, inFlight, state } = drawn;
     const adapters = [...drawn.adapters];
-    const change = { leaving, inFlight, state, adapters, fence: seen };
+    const change = { leaving, inFlight, state, adapters, fence: reportedFence };
     const { replica, ...base } = createReport(0, change);
     const place = { id: 'fabric-1-7', model: 'm', weights: '1', size: MEMBERS.length };
     const report: EngineReport = {
       ...base,
       incarnation: `${drawn.incarnation}-engine-0`,
-      ...(replica !== undefined && !isFree && { replica: { ...place, rank, fence: drawn.fence } }),
+      ...(replica !== undefined &&
+        !isUnassigned && { replica: { ...place, rank, fence: drawn.fence } }),
     };
     const digest = healthDigestSchema.parse(compose(createPlans(7), [report]));
     const view = { plans: createPlans(7), readHealth: () => undefined };
-    const passed = { digest, failedBefore: new Set<string>(), ageMs: 100 };
-    const known = readHealthDigest(view, passed, START + 100).health.get('engine-0');
+    const received = { digest, failedBefore: new Set<string>(), ageMs: 100 };
+    const known = readHealthDigest(view, received, START_MS + 100).health.get('engine-0');
     assert.deepEqual(known?.report, report);
-    assert.ok(known.heardAt <= START, 'it looks fresher than it is');
-    arrived += 1;
+    assert.ok(known.heardAt <= START_MS, 'the report appears fresher than it is');
+    decodedCount += 1;
   });
   fc.assert(property, { numRuns: runs, seed: 23 });
-  assert.equal(arrived, runs);
+  assert.equal(decodedCount, runs);
 });
 
-Then('each that arrives is the one that its engine gave', function () {
-  // The step before compared each of them.
+Then('each restored report equals the original', function () {
+  // The previous step compares each report.
 });
 
 Given(
-  'an entry that knows a replica of 3 from the digests of its probers alone',
-  function (this: PassingWorld) {
-    this.now = START + 100;
+  'an entry that knows a replica of 3 only from the digests of its probers',
+  function (this: HealthDigestWorld) {
+    this.now = START_MS + 100;
     this.plans = createPlans(7);
     this.health = new Map();
     this.digest = compose(this.plans, [createReport(0), createReport(1), createReport(2)]);
-    this.former = { ...this.digest, failing: [] };
+    this.previousDigest = { ...this.digest, failing: [] };
     receive(this, this.digest, 100);
     assert.equal(countServing(this), 1);
-    assert.deepEqual(listAsked(this), []);
+    assert.deepEqual(listDueMembers(this), []);
   },
 );
 
-When("a prober's digest calls one member failing", function (this: PassingWorld) {
+When("a prober's digest lists one member as failing", function (this: HealthDigestWorld) {
   this.now += 300;
-  const placed = this.digest.placed.filter(({ instance }) => instance !== DEAD);
-  this.digest = { ...this.digest, placed, failing: [DEAD] };
+  const placed = this.digest.placed.filter(({ instance }) => instance !== FAILED_MEMBER);
+  this.digest = { ...this.digest, placed, failing: [FAILED_MEMBER] };
   receive(this, this.digest, 50);
 });
 
-Then('the replica is out of service there at once', function (this: PassingWorld) {
+Then('the replica is out of service there at once', function (this: HealthDigestWorld) {
   assert.equal(countServing(this), 0);
 });
 
-Then('the entry asks that member itself', function (this: PassingWorld) {
-  assert.deepEqual(listAsked(this), [DEAD]);
+Then('the entry probes that member itself', function (this: HealthDigestWorld) {
+  assert.deepEqual(listDueMembers(this), [FAILED_MEMBER]);
 });
 
-Then('it does not ask again at the pace of the prober', function (this: PassingWorld) {
+Then("it does not probe again at the prober's rate", function (this: HealthDigestWorld) {
   const askedAt = this.now;
   this.now += PROBE_MS;
-  assert.equal(listAsked(this, askedAt).includes(DEAD), false);
+  assert.equal(listDueMembers(this, askedAt).includes(FAILED_MEMBER), false);
 });
 
-When("the entry's own probe of that member succeeds", function (this: PassingWorld) {
+When("the entry's own probe of that member succeeds", function (this: HealthDigestWorld) {
   this.now += 100;
-  this.health.set(DEAD, recordReport(this.health.get(DEAD), createReport(1), this.now));
+  this.health.set(
+    FAILED_MEMBER,
+    recordReport(this.health.get(FAILED_MEMBER), createReport(1), this.now),
+  );
 });
 
-When("the prober's next digest still calls it failing", function (this: PassingWorld) {
+When("the prober's next digest still lists it as failing", function (this: HealthDigestWorld) {
   this.now += 100;
   receive(this, this.digest, 50);
 });
 
-Then('the replica is in service there', function (this: PassingWorld) {
+Then('the replica is in service there', function (this: HealthDigestWorld) {
   assert.equal(countServing(this), 1);
 });
 
-When('nothing more is heard of the probers', function (this: PassingWorld) {
-  this.now = START;
+When('the probers send no further digests', function (this: HealthDigestWorld) {
+  this.now = START_MS;
 });
 
 Then(
   'the replica is out of service there within the freshness bound',
-  function (this: PassingWorld) {
-    this.now = START + FRESH_MS;
+  function (this: HealthDigestWorld) {
+    this.now = START_MS + FRESH_MS;
     assert.equal(countServing(this), 0);
   },
 );
 
-Then('the entry asks all members itself before that', function (this: PassingWorld) {
-  this.now = START + FRESH_MS - PROBE_MS;
-  assert.deepEqual(listAsked(this), MEMBERS);
+Then('the entry probes all members itself before that', function (this: HealthDigestWorld) {
+  this.now = START_MS + FRESH_MS - PROBE_MS;
+  assert.deepEqual(listDueMembers(this), MEMBERS);
 });
 
-When("the entry's plan moves on to another number", function (this: PassingWorld) {
+When("the entry's plan changes to another fencing number", function (this: HealthDigestWorld) {
   this.plans = createPlans(8);
 });
 
-When('the same digests arrive again', function (this: PassingWorld) {
+When('the same digests arrive again', function (this: HealthDigestWorld) {
   this.health.clear();
   receive(this, this.digest, 200);
 });
 
-Then("no member's report there is of the new number", function (this: PassingWorld) {
+Then("no member's report there has the new fencing number", function (this: HealthDigestWorld) {
   for (const { report } of this.health.values()) assert.notEqual(report?.replica?.fence, 8);
 });
 
 When(
   'an entry composes its digest of {int} engines within {int} characters',
-  function (this: PassingWorld, engines: number, length: number) {
+  function (this: HealthDigestWorld, engines: number, length: number) {
     const reports = Array.from({ length: engines }, (_, at) =>
       createReport(at, { instance: `engine-${at}` }),
     );
@@ -230,8 +234,8 @@
 );
 
 Then(
-  'the digest is valid, names some engines and is no longer than that',
-  function (this: PassingWorld) {
+  'the digest is valid, lists some engines and is within that length',
+  function (this: HealthDigestWorld) {
     const text = JSON.stringify(healthDigestSchema.parse(this.digest));
     assert.ok(text.length <= 1_500, `${text.length} characters`);
     assert.ok(this.digest.placed.length + this.digest.others.length > 3);
@@ -239,55 +243,58 @@
 );
 
 Given(
-  'the exchange of an entry that asked an engine and was then paused for {int} ms',
-  function (this: PassingWorld, pauseMs: number) {
+  'the health extension of an entry that probed an engine and was then paused for {int} ms',
+  function (this: HealthDigestWorld, pauseMs: number) {
     const board = createBoard();
     this.plans = createPlans(7);
     board.plans.write(this.plans);
-    const clock = createManualClock(START);
+    const clock = createManualClock(START_MS);
     const settings = { health: { probeEveryMs: PROBE_MS } };
     const context = { board, clock, settings } as unknown as EntryContext;
-    this.kept = 0;
-    const passing = createHealthPassing(context, {
+    this.appliedReports = 0;
+    const extension = createHealthPassing(context, {
       readHealth: () => undefined,
       readAssigned: () => [],
       readFailing: () => [],
       keep: (health) => {
-        this.kept += health.size;
+        this.appliedReports += health.size;
       },
     });
     clock.advance(pauseMs);
-    this.passing = passing;
+    this.extension = extension;
     this.clock = clock;
   },
 );
 
-Then('it counts that probe as unknown, and a later one as any', function (this: PassingWorld) {
-  assert.equal(this.passing.hasPausedSince(START), true);
+Then('it treats the result of that probe as unknown', function (this: HealthDigestWorld) {
+  assert.equal(this.extension.hasPausedSince(START_MS), true);
 });
 
-Then('a digest that waited meanwhile teaches it nothing', function (this: PassingWorld) {
-  const text = JSON.stringify(compose(this.plans, [createReport(0)]));
-  this.passing.import('entry-2', text, 0);
-  assert.equal(this.kept, 0);
-  this.passing.noteTick();
-  assert.equal(this.passing.hasPausedSince(START), true);
-  this.clock.advance(50);
-  assert.equal(this.passing.hasPausedSince(this.clock.now()), false);
-  this.passing.import('entry-2', text, 0);
-  assert.equal(this.kept, 1);
-});
+Then(
+  'it ignores digests until its next tick and then accepts probes and digests',
+  function (this: HealthDigestWorld) {
+    const text = JSON.stringify(compose(this.plans, [createReport(0)]));
+    this.extension.import('entry-2', text, 0);
+    assert.equal(this.appliedReports, 0);
+    this.extension.noteTick();
+    assert.equal(this.extension.hasPausedSince(START_MS), true);
+    this.clock.advance(50);
+    assert.equal(this.extension.hasPausedSince(this.clock.now()), false);
+    this.extension.import('entry-2', text, 0);
+    assert.equal(this.appliedReports, 1);
+  },
+);
 
-async function probe(world: PassingWorld): Promise<void> {
+async function probe(world: HealthDigestWorld): Promise<void> {
   const address = world.engines[0]?.address ?? '';
-  const { counted } = world;
+  const { countedBytes } = world;
   let bytes = 0;
   const count = (message: unknown): void => {
     const { socket } = (message as { request: IncomingMessage }).request;
     if (!address.endsWith(`:${socket.localPort}`)) return;
     const total = socket.bytesRead + socket.bytesWritten;
-    bytes = total - (counted.get(socket) ?? 0);
-    counted.set(socket, total);
+    bytes = total - (countedBytes.get(socket) ?? 0);
+    countedBytes.set(socket, total);
   };
   subscribe('http.server.response.finish', count);
   const report = (await world.client.health(address, 1_000))._unsafeUnwrap();
@@ -297,22 +304,22 @@
 
 Given(
   'an engine that is probed through a client that counts bytes',
-  async function (this: PassingWorld) {
+  async function (this: HealthDigestWorld) {
     this.engines = [(await createEngineStandIn({ instance: 'engine-0' }))._unsafeUnwrap()];
     this.client = createEngineClient();
     this.answers = [];
-    this.counted = new WeakMap();
+    this.countedBytes = new WeakMap();
     await probe(this);
   },
 );
 
-When('it is probed again without any change', async function (this: PassingWorld) {
+When('it is probed again without any change', async function (this: HealthDigestWorld) {
   await probe(this);
 });
 
 Then(
   'the second report is the same and took less than two thirds of the bytes',
-  function (this: PassingWorld) {
+  function (this: HealthDigestWorld) {
     const [first, second] = this.answers;
     assert.deepEqual(second?.report, first?.report);
     const bytes = [first?.bytes ?? 0, second?.bytes ?? 0] as const;
@@ -320,23 +327,26 @@
   },
 );
 
-When('another start of the engine takes its address', async function (this: PassingWorld) {
+When('the engine is restarted at the same address', async function (this: HealthDigestWorld) {
   const listen = this.engines[0]?.address ?? '';
   await this.engines[0]?.stop();
   const instance = 'engine-0';
   this.engines = [(await createEngineStandIn({ instance, listen }))._unsafeUnwrap()];
-  // A connection to the former process may still be tried first, and fails.
-  await waitFor('a probe to be answered', async () => {
+  // The client may first try a connection to the previous process, which fails.
+  await waitFor('a probe to succeed', async () => {
     await probe(this);
     return true;
   });
 });
 
-Then("the next probe brings the other start's report", function (this: PassingWorld) {
-  assert.equal(this.answers.at(-1)?.report.incarnation, this.engines[0]?.incarnation);
-});
+Then(
+  'the next probe returns the report of the new incarnation',
+  function (this: HealthDigestWorld) {
+    assert.equal(this.answers.at(-1)?.report.incarnation, this.engines[0]?.incarnation);
+  },
+);
 
-After(async function (this: Partial<PassingWorld>) {
+After(async function (this: Partial<HealthDigestWorld>) {
   if (this.client === undefined) return;
   await this.client.close();
   await Promise.all((this.engines ?? []).map((engine) => engine.stop()));
--- a/features/membership/rates.feature
+++ b/features/membership/rates.feature
@@ -1,8 +1,8 @@
 Feature: Entries keep within the platform's calls and their own bytes
 
   Scenario: A fleet of any size makes a bounded number of watch calls
-    # Guards against a large fleet exceeding the platform's rate limit with one watch call per change
-    # and entry, after which no entry would receive changes.
+    # Guards against a large fleet exceeding the platform's rate limit with one watch call per
+    # change and entry, after which no entry would receive changes.
     When plans change continuously in fleets of 1 to 1000 entries
     Then no fleet makes more than 800 watch calls a second, or 10 per entry
 
--- a/src/controllers/health/eligible-replicas.ts
+++ b/src/controllers/health/eligible-replicas.ts
@@ -1,24 +1,25 @@
 /**
- * The serving gate's answer, kept until a section that it rests on changes or time takes it away.
+ * Caches the index of eligible replicas until a board section that it depends on changes or the
+ * index expires.
  */
 import type { Board } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Candidate } from '../routing/types.js';
 import { indexEligibleReplicas, type EligibleIndex } from './gate.js';
 
-/** The replicas that may be sent requests, at the cost of a look-up for most requests. */
+/** The replicas that may be sent requests; most calls are answered from a cached index. */
 export interface EligibleReplicas {
-  /** Those of `model`; empty when nothing is in service. */
+  /** Lists the eligible replicas of `model`; empty if there are none. */
   list(model: string, now: Milliseconds): readonly Candidate[];
-  /** All models'. */
+  /** Returns the index of the eligible replicas of all models. */
   index(now: Milliseconds): EligibleIndex;
 }
 
-const NONE: readonly Candidate[] = [];
+const NO_CANDIDATES: readonly Candidate[] = [];
 
 /**
- * Keeps the index of `board`. It is made again at the first call after a change of `plans`,
- * `fleet`, `health` or `load`, and when a member may have been unheard for `freshMs`.
+ * Creates the cache for `board`. The index is rebuilt on the first call after `plans`, `fleet`,
+ * `health` or `load` has changed, or when a member's report may be older than `freshMs`.
  *
  * @example const eligible = createEligibleReplicas(board, 2_000); eligible.list('m', clock.now());
  */
@@ -28,22 +29,22 @@
 ): EligibleReplicas {
   const { plans, fleet, health, load } = board;
   const sections = [plans, fleet, health, load];
-  let kept: EligibleIndex | undefined;
-  let keptVersions: readonly number[] = [];
+  let cachedIndex: EligibleIndex | undefined;
+  let cachedVersions: readonly number[] = [];
 
   function index(now: Milliseconds): EligibleIndex {
-    const isCurrent = sections.every((section, at) => section.version() === keptVersions[at]);
-    if (kept !== undefined && isCurrent && now < kept.validUntil) return kept;
+    const isCurrent = sections.every((section, at) => section.version() === cachedVersions[at]);
+    if (cachedIndex !== undefined && isCurrent && now < cachedIndex.validUntil) return cachedIndex;
     const view = {
       plans: plans.read(),
       fleet: fleet.read(),
       health: health.read(),
       load: load.read(),
     };
-    kept = indexEligibleReplicas(view, now, freshMs);
-    keptVersions = sections.map((section) => section.version());
-    return kept;
+    cachedIndex = indexEligibleReplicas(view, now, freshMs);
+    cachedVersions = sections.map((section) => section.version());
+    return cachedIndex;
   }
 
-  return { index, list: (model, now) => index(now).byModel.get(model) ?? NONE };
+  return { index, list: (model, now) => index(now).byModel.get(model) ?? NO_CANDIDATES };
 }
--- a/src/controllers/health/gate.ts
+++ b/src/controllers/health/gate.ts
@@ -1,11 +1,11 @@
 /**
- * The serving gate: which replicas may be sent requests at this moment.
+ * Decides which replicas are eligible to be sent requests.
  *
- * A replica serves only as a whole. It is listed when its plan says `whole` and every member is
- * known to the platform, stays, was heard of lately, has failed nothing since, and itself reports
- * the same replica, fencing number, rank and incarnation as the plan. A member that died and came
- * back reports another incarnation; a member that an old order moved reports another replica or
- * number. Either takes the whole replica out of service without any message between entries.
+ * A replica is eligible only if all of its members are: its phase in the plan is `whole`, and every
+ * member is listed by the platform, is not leaving or failing, has a recent report, and reports the
+ * same replica, fencing number, rank and incarnation as the plan. A restarted member reports
+ * another incarnation, and a member moved by an outdated order reports another replica or fencing
+ * number. Each entry can thus take the replica out of service without coordinating with the others.
  */
 import type { EngineReport } from '../../adapters/engines/protocol.js';
 import type { Fleet, Health, InstanceHealth, Load, Plans } from '../../board/index.js';
@@ -14,7 +14,7 @@
 import type { Replica, Service } from '../../objects/index.js';
 import type { Candidate, InstanceCandidate } from '../routing/types.js';
 
-/** The sections of the board that the gate reads. */
+/** The board sections that determine eligibility. */
 export interface EligibilityView {
   plans: Plans;
   fleet: Fleet;
@@ -22,14 +22,14 @@
   load: Load;
 }
 
-/** One replica that may serve, until the first of its members has been unheard for too long. */
-interface OpenReplica {
+/** An eligible replica and the time at which the oldest report of its members expires. */
+interface ExpiringCandidate {
   candidate: Candidate;
-  until: Milliseconds;
+  validUntil: Milliseconds;
 }
 
-/** Why a replica may not serve; `member` is the first instance that speaks against it. */
-export type Obstacle =
+/** Why a replica is not eligible; `member` is the first instance to which the reason applies. */
+export type Ineligibility =
   | { kind: 'phase' }
   | { kind: 'unknownMember'; member: string }
   | { kind: 'leaving'; member: string }
@@ -39,15 +39,15 @@
   | { kind: 'otherReplica'; member: string }
   | { kind: 'notReady'; member: string };
 
-/** What may serve, by model, and how long that holds if no section changes. */
+/** The eligible replicas by model. */
 export interface EligibleIndex {
   byModel: ReadonlyMap<string, readonly Candidate[]>;
-  /** From then on a member may have been unheard for too long: make the index again. */
+  /** When the index has to be rebuilt, because a member's report may have expired. */
   validUntil: Milliseconds;
 }
 
 /**
- * All replicas that may be sent requests now.
+ * Lists all replicas that may be sent requests at `now`.
  *
  * @example listEligibleReplicas(view, clock.now(), 2_000).filter(({ model }) => model === name)
  */
@@ -56,10 +56,10 @@
   now: Milliseconds,
   freshMs: Milliseconds,
 ): Candidate[] {
-  return listOpenReplicas(view, now, freshMs).map(({ candidate }) => candidate);
+  return listExpiringCandidates(view, now, freshMs).map(({ candidate }) => candidate);
 }
 
-/** The same, ordered by model, with the time until which it holds. */
+/** Builds the index of {@link listEligibleReplicas} by model, with its expiry. */
 export function indexEligibleReplicas(
   view: EligibilityView,
   now: Milliseconds,
@@ -67,7 +67,7 @@
 ): EligibleIndex {
   const byModel = new Map<string, Candidate[]>();
   let validUntil = Number.POSITIVE_INFINITY;
-  for (const { candidate, until } of listOpenReplicas(view, now, freshMs)) {
+  for (const { candidate, validUntil: until } of listExpiringCandidates(view, now, freshMs)) {
     const candidates = byModel.get(candidate.model);
     if (candidates === undefined) byModel.set(candidate.model, [candidate]);
     else candidates.push(candidate);
@@ -76,24 +76,24 @@
   return { byModel, validUntil };
 }
 
-/** What speaks against sending requests to `replica`; undefined when it may serve. */
-export function findObstacle(
+/** Returns why `replica` may not be sent requests; undefined if it is eligible. */
+export function findIneligibility(
   view: Pick<EligibilityView, 'fleet' | 'health'>,
   replica: Replica,
   now: Milliseconds,
   freshMs: Milliseconds,
-): Obstacle | undefined {
+): Ineligibility | undefined {
   if (replica.phase !== 'whole' || replica.members.length === 0) return { kind: 'phase' };
   for (let rank = 0; rank < replica.members.length; rank += 1) {
-    const obstacle = findMemberObstacle(view, replica, rank, now, freshMs);
-    if (obstacle !== undefined) return obstacle;
+    const ineligibility = findMemberIneligibility(view, replica, rank, now, freshMs);
+    if (ineligibility !== undefined) return ineligibility;
   }
   return undefined;
 }
 
 /**
- * The instances of plain services that may be sent calls. One that failed is left alone for
- * `freshMs` and then tried again, since nothing probes it.
+ * Lists the instances of a plain service that may be sent calls. Since service instances are not
+ * probed, one that failed is excluded for `freshMs` and then retried.
  */
 export function listServiceInstances(
   view: Pick<EligibilityView, 'fleet' | 'health'>,
@@ -113,52 +113,55 @@
   return candidates;
 }
 
-/** Whether `name` gets no new work: the platform's list, its own word or a peer's says so. */
+/** Whether `name` is leaving, by the platform's list, its own report or a peer's mark. */
 export function isLeaving(fleet: Fleet, name: string): boolean {
   return fleet.leaving.has(name) || fleet.instances.get(name)?.state === 'leaving';
 }
 
-function listOpenReplicas(
+function listExpiringCandidates(
   view: EligibilityView,
   now: Milliseconds,
   freshMs: Milliseconds,
-): OpenReplica[] {
-  const open: OpenReplica[] = [];
+): ExpiringCandidate[] {
+  const candidates: ExpiringCandidate[] = [];
   for (const { value } of view.plans.values()) {
     for (const replica of value.replicas) {
-      if (findObstacle(view, replica, now, freshMs) !== undefined) continue;
+      if (findIneligibility(view, replica, now, freshMs) !== undefined) continue;
       const candidate = describeCandidate(view, replica);
       if (candidate === undefined) continue;
-      open.push({ candidate, until: findOldestReport(view.health, replica) + freshMs });
+      candidates.push({
+        candidate,
+        validUntil: findOldestReportTime(view.health, replica) + freshMs,
+      });
     }
   }
-  return open;
+  return candidates;
 }
 
-function findMemberObstacle(
+function findMemberIneligibility(
   view: Pick<EligibilityView, 'fleet' | 'health'>,
   replica: Replica,
   rank: number,
   now: Milliseconds,
   freshMs: Milliseconds,
-): Obstacle | undefined {
-  const planned = replica.members[rank];
-  if (planned === undefined) return { kind: 'phase' };
-  const member = planned.instance;
+): Ineligibility | undefined {
+  const plannedMember = replica.members[rank];
+  if (plannedMember === undefined) return { kind: 'phase' };
+  const member = plannedMember.instance;
   if (!view.fleet.instances.has(member)) return { kind: 'unknownMember', member };
   if (isLeaving(view.fleet, member)) return { kind: 'leaving', member };
   const health = view.health.get(member);
-  if (!isHeard(health, now, freshMs)) return { kind: 'unheard', member };
+  if (!hasFreshReport(health, now, freshMs)) return { kind: 'unheard', member };
   if (health.failingSince !== undefined) return { kind: 'failing', member };
   const { report } = health;
   if (report.leaving) return { kind: 'leaving', member };
-  if (report.incarnation !== planned.incarnation) return { kind: 'otherIncarnation', member };
+  if (report.incarnation !== plannedMember.incarnation) return { kind: 'otherIncarnation', member };
   if (!reportsPlace(report, replica, rank)) return { kind: 'otherReplica', member };
   if (report.state !== 'ready') return { kind: 'notReady', member };
   return undefined;
 }
 
-function isHeard(
+function hasFreshReport(
   health: InstanceHealth | undefined,
   now: Milliseconds,
   freshMs: Milliseconds,
@@ -166,7 +169,7 @@
   return health?.report !== undefined && now - health.heardAt < freshMs;
 }
 
-/** Whether the engine says that it holds this rank of this replica under the plan's number. */
+/** Whether the engine reports the replica, rank, size and fencing number that the plan assigns. */
 export function reportsPlace(report: EngineReport, replica: Replica, rank: number): boolean {
   const held = report.replica;
   if (held?.id !== replica.id) return false;
@@ -189,7 +192,7 @@
   };
 }
 
-function findOldestReport(health: Health, replica: Replica): Milliseconds {
-  const instants = replica.members.map(({ instance }) => health.get(instance)?.heardAt ?? 0);
-  return Math.min(...instants);
+function findOldestReportTime(health: Health, replica: Replica): Milliseconds {
+  const reportTimes = replica.members.map(({ instance }) => health.get(instance)?.heardAt ?? 0);
+  return Math.min(...reportTimes);
 }
--- a/src/controllers/health/health-digest.ts
+++ b/src/controllers/health/health-digest.ts
@@ -1,9 +1,10 @@
 /**
- * What an entry passes on of the engines that it probes, so that the others need not ask them.
+ * Encodes and decodes the health digest, by which an entry relays the reports of the engines that
+ * it probes, so that other entries need not probe them.
  *
- * Most engines hold the place that the plan gives them, and every entry knows the plan: the fencing
- * number alone then stands for the whole report. Nothing in the text changes while nothing changes
- * at the engines, so that a heartbeat of its author is enough to keep it fresh.
+ * Every entry knows the plan, so for an engine in its planned placement the fencing number replaces
+ * the whole report. The text changes only when an engine's state does; otherwise a gossip heartbeat
+ * of its author is enough to keep it fresh.
  */
 import * as z from 'zod';
 import { engineLoadSchema, engineReportSchema } from '../../adapters/engines/protocol.js';
@@ -12,165 +13,170 @@
 import type { Milliseconds } from '../../core/clock/index.js';
 import { nameSchema, type Replica } from '../../objects/index.js';
 import { reportsPlace } from './gate.js';
-import { recordPassedFailure, recordPassedReport } from './record.js';
+import { recordRelayedFailure, recordPassedReport } from './record.js';
 
-/** Most instances of one list. */
-const LIST_LENGTH = 256;
-/** Digits of a load that are told: small changes are no change of the digest. */
-const LOAD_DIGITS = 2;
-const LONGEST_WITHIN_MS = 60_000;
+/** Maximum number of instances in each list of a digest. */
+const MAX_LIST_LENGTH = 256;
+/** Loads are rounded so that small fluctuations don't change the digest. */
+const LOAD_SIGNIFICANT_DIGITS = 2;
+const MAX_WITHIN_MS = 60_000;
 
-const placedSchema = z.strictObject({
+const placedEngineSchema = z.strictObject({
   instance: nameSchema,
-  /** Of the plan under which it holds its place. */
+  /** The fencing number of the replica that the engine belongs to. */
   fence: z.number().int().nonnegative(),
-  /** Only of a leader, and of an engine that has adapters. */
+  /** Omitted if zero. */
   inFlight: z.number().int().nonnegative().optional(),
   load: engineLoadSchema.omit({ ageMs: true }).optional(),
   adapters: z.array(nameSchema).max(64).optional(),
 });
 
-const otherSchema = engineReportSchema.omit({ load: true, cacheSequence: true }).strict();
+const otherEngineSchema = engineReportSchema.omit({ load: true, cacheSequence: true }).strict();
 
-/** What one entry says of the engines that it probes. */
+/** The health that an entry reports of the engines that it probes. */
 export const healthDigestSchema = z.strictObject({
-  /** Everything listed was heard by the author at most this long before the digest was made. */
-  withinMs: z.number().nonnegative().max(LONGEST_WITHIN_MS),
-  /** Those whose last probe or request failed at the author. */
-  failing: z.array(nameSchema).max(LIST_LENGTH),
-  /** Ready in the place that the plan gives them. */
-  placed: z.array(placedSchema).max(LIST_LENGTH),
-  /** All others. */
-  others: z.array(otherSchema).max(LIST_LENGTH),
+  /** Maximum age of the listed reports when the digest was created. */
+  withinMs: z.number().nonnegative().max(MAX_WITHIN_MS),
+  /** Instances whose last probe or request by the author failed. */
+  failing: z.array(nameSchema).max(MAX_LIST_LENGTH),
+  /** Engines that are ready in their planned placement. */
+  placed: z.array(placedEngineSchema).max(MAX_LIST_LENGTH),
+  /** Reports of all other engines. */
+  others: z.array(otherEngineSchema).max(MAX_LIST_LENGTH),
 });
 
 export type HealthDigest = z.infer<typeof healthDigestSchema>;
-type Placed = HealthDigest['placed'][number];
+type PlacedEngine = HealthDigest['placed'][number];
 
-/** A replica's place, by the instance that holds it. */
-interface Place {
+/** The replica and rank that the plan assigns to an instance. */
+interface Placement {
   replica: Replica;
   rank: number;
 }
 
-/** What a digest is made from. */
-export interface PassingSource {
+/** Source data of {@link composeHealthDigest}. */
+export interface HealthDigestSource {
   plans: Plans;
   health: Health;
-  /** The instances that this entry probes for all. */
+  /** The instances that this entry probes on behalf of all entries. */
   assigned: Iterable<string>;
-  /** Those that failed at this entry itself, whoever probes them. */
+  /** Instances whose last probe or request by this entry failed, including unassigned ones. */
   failing: Iterable<string>;
   withinMs: Milliseconds;
-  /** Longest text; what does not fit is left to the others' own probes. */
+  /**
+   * Maximum length of the digest as JSON. Engines that don't fit are left to the others' probes.
+   */
   textLength: number;
 }
 
-/** What a digest teaches. */
-export interface PassedNews {
+/** The changes that result from a received digest. */
+export interface HealthDigestUpdate {
   health: ReadonlyMap<string, InstanceHealth>;
   load: ReadonlyMap<string, ReplicaLoad>;
-  /** Instances that this digest is the first to call failing. */
+  /** Instances listed as failing that the author's previous digest did not list. */
   failing: readonly string[];
 }
 
-/** What a digest is read against. */
-export interface PassedView {
+/** The state of this entry against which a digest is decoded. */
+export interface HealthDigestContext {
   plans: Plans;
-  /** What is known of an instance, with what was heard a moment ago. */
+  /** Returns the health of an instance, including updates not yet written to the board. */
   readHealth(instance: string): InstanceHealth | undefined;
 }
 
-/** When and by whom a digest was made. */
-export interface PassedDigest {
+/** A digest received from a peer. */
+export interface ReceivedHealthDigest {
   digest: HealthDigest;
-  /** What the author's former digest called failing. */
+  /** Instances that the author's previous digest listed as failing. */
   failedBefore: ReadonlySet<string>;
-  /** How old it is, with the longest time that it can have been under way. */
+  /** Age of the digest, including the longest possible transit time. */
   ageMs: Milliseconds;
 }
 
 /**
- * The digest of this entry, cut to its bound: failures first.
+ * Composes the digest of this entry, truncated to its maximum length. Failures come first.
  *
  * @example const digest = composeHealthDigest(source, clock.now());
  */
-export function composeHealthDigest(source: PassingSource, now: Milliseconds): HealthDigest {
+export function composeHealthDigest(source: HealthDigestSource, now: Milliseconds): HealthDigest {
   const { plans, health, withinMs } = source;
   const digest: HealthDigest = { withinMs, failing: [], placed: [], others: [] };
-  let left = source.textLength - JSON.stringify(digest).length;
-  const take = <Value>(list: Value[], value: Value): void => {
+  let remainingLength = source.textLength - JSON.stringify(digest).length;
+  const appendIfFits = <Value>(list: Value[], value: Value): void => {
     const length = JSON.stringify(value).length + 1;
-    if (length > left || list.length >= LIST_LENGTH) return;
-    left -= length;
+    if (length > remainingLength || list.length >= MAX_LIST_LENGTH) return;
+    remainingLength -= length;
     list.push(value);
   };
-  for (const name of [...source.failing].sort()) take(digest.failing, name);
-  const places = locateMembers(plans);
+  for (const name of [...source.failing].sort()) appendIfFits(digest.failing, name);
+  const placements = indexPlacements(plans);
   for (const name of [...source.assigned].sort()) {
-    const known = health.get(name);
-    if (known?.report === undefined || known.failingSince !== undefined) continue;
-    if (now - known.heardAt > withinMs) continue;
-    const placed = describePlaced(known.report, places.get(name));
-    if (placed !== undefined) take(digest.placed, placed);
-    else take(digest.others, describeOther(known.report));
+    const engineHealth = health.get(name);
+    if (engineHealth?.report === undefined || engineHealth.failingSince !== undefined) continue;
+    if (now - engineHealth.heardAt > withinMs) continue;
+    const placedEngine = toPlacedEngine(engineHealth.report, placements.get(name));
+    if (placedEngine !== undefined) appendIfFits(digest.placed, placedEngine);
+    else appendIfFits(digest.others, toOtherEngine(engineHealth.report));
   }
   return digest;
 }
 
 /**
- * What the digest of a peer teaches this entry.
+ * Decodes the digest of a peer.
  *
- * A failure is taken over once, when the peer's digest first names it. Were it taken again with
- * each digest, a peer whose own link to an engine is cut would keep that engine's replica out of
- * service at every entry, also at those that reach it: their own later report ends the failing.
+ * A failure is applied only when the peer first lists it. Otherwise a peer that has lost its own
+ * link to an engine would keep the replica out of service at every entry, even at those whose own
+ * probes succeed.
  */
 export function readHealthDigest(
-  view: PassedView,
-  { digest, failedBefore, ageMs }: PassedDigest,
+  context: HealthDigestContext,
+  { digest, failedBefore, ageMs }: ReceivedHealthDigest,
   now: Milliseconds,
-): PassedNews {
+): HealthDigestUpdate {
   const health = new Map<string, InstanceHealth>();
   const load = new Map<string, ReplicaLoad>();
-  const places = locateMembers(view.plans);
-  const keep = (report: EngineReport): void => {
-    const previous = view.readHealth(report.instance);
+  const placements = indexPlacements(context.plans);
+  const applyReport = (report: EngineReport): void => {
+    const previous = context.readHealth(report.instance);
     const next = recordPassedReport(previous, report, ageMs, digest.withinMs, now);
     if (next !== previous) health.set(report.instance, next);
   };
-  for (const other of digest.others) keep({ ...other, cacheSequence: 0 });
+  for (const other of digest.others) applyReport({ ...other, cacheSequence: 0 });
   for (const placed of digest.placed) {
-    const place = places.get(placed.instance);
-    // Another plan is in force here or there: the fence does not stand for a known report.
-    if (place?.replica.fence !== placed.fence) continue;
-    keep(restoreReport(placed, place));
-    if (placed.load === undefined || place.rank !== 0) continue;
+    const placement = placements.get(placed.instance);
+    // The peer used another version of the plan, so the report cannot be restored from this one.
+    if (placement?.replica.fence !== placed.fence) continue;
+    applyReport(restoreReport(placed, placement));
+    if (placed.load === undefined || placement.rank !== 0) continue;
     const measuredAt = now - ageMs - digest.withinMs;
-    load.set(place.replica.id, { load: { ...placed.load, ageMs: 0 }, measuredAt });
+    load.set(placement.replica.id, { load: { ...placed.load, ageMs: 0 }, measuredAt });
   }
   const failing = digest.failing.filter((name) => !failedBefore.has(name));
   for (const name of failing) {
-    const previous = health.get(name) ?? view.readHealth(name);
-    const next = recordPassedFailure(previous, ageMs, now);
+    const previous = health.get(name) ?? context.readHealth(name);
+    const next = recordRelayedFailure(previous, ageMs, now);
     if (next !== previous) health.set(name, next);
   }
   return { health, load, failing };
 }
 
-function locateMembers(plans: Plans): ReadonlyMap<string, Place> {
-  const places = new Map<string, Place>();
+function indexPlacements(plans: Plans): ReadonlyMap<string, Placement> {
+  const placements = new Map<string, Placement>();
   for (const { value } of plans.values()) {
     for (const replica of value.replicas) {
-      replica.members.forEach(({ instance }, rank) => places.set(instance, { replica, rank }));
+      replica.members.forEach(({ instance }, rank) => placements.set(instance, { replica, rank }));
     }
   }
-  return places;
+  return placements;
 }
 
-/** Undefined unless the report is the one that the plan's fence stands for. */
-function describePlaced(report: EngineReport, place: Place | undefined): Placed | undefined {
-  if (place === undefined || report.state !== 'ready' || report.leaving) return undefined;
-  const { replica, rank } = place;
+/** Returns undefined unless the report can be restored from the plan. */
+function toPlacedEngine(
+  report: EngineReport,
+  placement: Placement | undefined,
+): PlacedEngine | undefined {
+  if (placement === undefined || report.state !== 'ready' || report.leaving) return undefined;
+  const { replica, rank } = placement;
   if (report.incarnation !== replica.members[rank]?.incarnation) return undefined;
   if (!reportsPlace(report, replica, rank) || report.fence !== replica.fence) return undefined;
   const { instance, inFlight, load, adapters } = report;
@@ -183,7 +189,7 @@
   };
 }
 
-function roundLoad(load: EngineLoad): Placed['load'] {
+function roundLoad(load: EngineLoad): PlacedEngine['load'] {
   const { running, waiting, batchSize, prefillMsPerToken, decodeMsPerToken } = load;
   return {
     running,
@@ -191,24 +197,24 @@
     batchSize,
     prefillMsPerToken,
     decodeMsPerToken,
-    pendingPromptTokens: roundCount(load.pendingPromptTokens),
-    pendingOutputTokens: roundCount(load.pendingOutputTokens),
-    cacheUse: roundCount(load.cacheUse),
+    pendingPromptTokens: roundLoadValue(load.pendingPromptTokens),
+    pendingOutputTokens: roundLoadValue(load.pendingOutputTokens),
+    cacheUse: roundLoadValue(load.cacheUse),
   };
 }
 
-function roundCount(value: number): number {
-  return Number(value.toPrecision(LOAD_DIGITS));
+function roundLoadValue(value: number): number {
+  return Number(value.toPrecision(LOAD_SIGNIFICANT_DIGITS));
 }
 
-function describeOther(report: EngineReport): HealthDigest['others'][number] {
+function toOtherEngine(report: EngineReport): HealthDigest['others'][number] {
   const { instance, incarnation, state, replica, fence, leaving, inFlight, adapters } = report;
   const other = { instance, incarnation, state, fence, leaving, inFlight, adapters };
   return replica === undefined ? other : { ...other, replica };
 }
 
-/** The report that an engine in `place` gives; the opposite of {@link describePlaced}. */
-function restoreReport(placed: Placed, { replica, rank }: Place): EngineReport {
+/** Restores the report of an engine in its planned placement; reverses {@link toPlacedEngine}. */
+function restoreReport(placed: PlacedEngine, { replica, rank }: Placement): EngineReport {
   const { id, fence, model, weights, members } = replica;
   return {
     instance: placed.instance,
--- a/src/controllers/health/probes.ts
+++ b/src/controllers/health/probes.ts
@@ -1,41 +1,44 @@
 /**
- * Which entry asks which engine for its report.
+ * Assigns engines to the entries that probe them, and schedules the probes.
  *
- * Every engine has a few probers, chosen by rendezvous hashing so that all entries agree without
- * talking and a lost entry moves only its own share. The rest learn the report from them. An entry
- * that hears nothing of an engine, from whomever, asks it itself: reports that peers do not pass on
- * cost more probes, never a wrong answer.
+ * The probers of an engine are chosen by rendezvous hashing, so that all entries agree without
+ * coordination and the loss of an entry reassigns only its own engines. The other entries receive
+ * the reports from the probers. An entry that receives none probes the engine itself, so a missing
+ * relay causes more probes but no wrong result.
  */
 import type { Health } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 
-/** An entry that probes. */
 export interface Prober {
   name: string;
   failureDomain: string;
 }
 
-/** An instance to be probed. */
 export interface ProbeTarget {
   name: string;
   failureDomain: string;
 }
 
-/** An entry of the same failure domain wins over any other: its links are the short ones. */
+/**
+ * Ranks entries of the instance's failure domain above all others, since their links are shorter.
+ */
 const SAME_DOMAIN_BONUS = 1;
 
-/** Part of the freshness bound that is left, at the least, for an entry's own probe. */
-const OWN_PROBE_SHARE = 0.2;
+/** Minimum fraction of the freshness bound reserved for an entry's own probe. */
+const OWN_PROBE_FRACTION = 0.2;
 
-/** The longest time between two probes of an instance that others are to probe. */
-const MAX_PACE_MS = 10_000;
+/** Maximum interval between probes of an instance that is assigned to other entries. */
+const MAX_PROBE_INTERVAL_MS = 10_000;
 
-/** How many times as often an instance is asked while it fails. */
-const FAILING_PACE = 4;
+/**
+ * Divides the probe interval of an assigned instance that is failing, and the silence of an
+ * unassigned one to get its interval.
+ */
+const PROBE_INTERVAL_DIVISOR = 4;
 
 /**
- * The instances that `self` probes when each has `redundancy` probers among `entries`, of its own
- * failure domain as far as there are any.
+ * Lists the instances that `self` probes when each has `redundancy` probers. Probers are entries of
+ * the instance's own failure domain if it has enough of them.
  *
  * @example assignProbes(entries, engines, 'entry-1', 2)
  */
@@ -46,42 +49,42 @@
   redundancy: number,
 ): string[] {
   if (entries.length <= redundancy) return instances.map(({ name }) => name);
-  const local = groupByDomain(entries);
-  const own = entries.find((entry) => entry.name === self)?.failureDomain;
+  const entriesByDomain = groupByDomain(entries);
+  const ownDomain = entries.find((entry) => entry.name === self)?.failureDomain;
   return instances
     .filter((instance) => {
-      const near = local.get(instance.failureDomain) ?? [];
-      if (near.length >= redundancy && instance.failureDomain !== own) return false;
-      const probers = near.length >= redundancy ? near : entries;
+      const localEntries = entriesByDomain.get(instance.failureDomain) ?? [];
+      if (localEntries.length >= redundancy && instance.failureDomain !== ownDomain) return false;
+      const probers = localEntries.length >= redundancy ? localEntries : entries;
       return chooseProbers(probers, instance, redundancy).includes(self);
     })
     .map(({ name }) => name);
 }
 
-/** The names of the `redundancy` entries that probe `instance`, the first choice first. */
+/** Returns the names of the `redundancy` entries that probe `instance`, highest ranked first. */
 export function chooseProbers(
   entries: readonly Prober[],
   instance: ProbeTarget,
   redundancy: number,
 ): string[] {
-  const scored = entries.map((entry) => ({
+  const ranked = entries.map((entry) => ({
     name: entry.name,
     score: scoreProber(entry, instance),
   }));
-  scored.sort((a, b) => b.score - a.score || (a.name < b.name ? -1 : 1));
-  return scored.slice(0, redundancy).map(({ name }) => name);
+  ranked.sort((a, b) => b.score - a.score || (a.name < b.name ? -1 : 1));
+  return ranked.slice(0, redundancy).map(({ name }) => name);
 }
 
-/** When one instance was asked last, for {@link listDueProbes}. */
+/** The last probe of an instance, for {@link listDueProbes}. */
 export interface ProbeState {
   askedAt: Milliseconds;
   underWay: boolean;
 }
 
-/** What {@link listDueProbes} goes by. */
+/** Options of {@link listDueProbes}. */
 export interface ProbeSchedule {
   targets: readonly string[];
-  /** Those that this entry probes on behalf of all. */
+  /** The instances that this entry probes on behalf of all entries. */
   assigned: ReadonlySet<string>;
   states: ReadonlyMap<string, ProbeState>;
   health: Health;
@@ -90,43 +93,50 @@
   freshMs: Milliseconds;
 }
 
-/** The instances to be asked at `now`. */
+/** Lists the instances to be probed at `now`. */
 export function listDueProbes(schedule: ProbeSchedule, now: Milliseconds): string[] {
   return schedule.targets.filter((name) => {
     const state = schedule.states.get(name);
     if (state === undefined) return true;
     if (state.underWay) return false;
-    return now - state.askedAt >= findPace(schedule, name, state.askedAt, now);
+    return now - state.askedAt >= computeProbeInterval(schedule, name, state.askedAt, now);
   });
 }
 
 /**
- * How long to leave `name` alone. An assigned instance that fails is asked more often, since a
- * replica waits for its recovery. One of the others that nobody is heard to have reached is asked
- * the more rarely the longer that lasts: a dead engine must not draw probes from every entry.
+ * Returns the minimum interval between probes of `name`. An assigned instance is probed more often
+ * while it is failing, so that its replica returns to service quickly. For an unassigned instance
+ * the interval grows with its silence, so that a dead engine is not probed constantly by all
+ * entries.
  */
-function findPace(
+function computeProbeInterval(
   schedule: ProbeSchedule,
   name: string,
   askedAt: Milliseconds,
   now: Milliseconds,
 ): Milliseconds {
   const { probeEveryMs, probeTimeoutMs, freshMs } = schedule;
-  const known = schedule.health.get(name);
+  const health = schedule.health.get(name);
   if (schedule.assigned.has(name)) {
-    return known?.failingSince === undefined ? probeEveryMs : probeEveryMs / FAILING_PACE;
+    return health?.failingSince === undefined
+      ? probeEveryMs
+      : probeEveryMs / PROBE_INTERVAL_DIVISOR;
   }
-  const unheardMs = known === undefined ? freshMs : now - known.heardAt;
-  // One look of its own; after that the prober's digest tells when the engine is back. Were all to
-  // ask at the prober's pace, a dark domain would draw hundreds of probes a second from each entry.
-  if (known?.failingSince !== undefined) {
-    if (askedAt < known.failingSince) return 0;
-    return Math.min(MAX_PACE_MS, Math.max(freshMs / 2, unheardMs / FAILING_PACE));
+  const silentMs = health === undefined ? freshMs : now - health.heardAt;
+  // Each entry probes a failing engine once itself, and then only rarely, since the prober's digest
+  // reports its recovery. Probing at the prober's rate would cost hundreds of probes a second per
+  // entry when a domain is unreachable.
+  if (health?.failingSince !== undefined) {
+    if (askedAt < health.failingSince) return 0;
+    return Math.min(
+      MAX_PROBE_INTERVAL_MS,
+      Math.max(freshMs / 2, silentMs / PROBE_INTERVAL_DIVISOR),
+    );
   }
-  // The answer has to be there before the engine counts as unheard.
-  const leftMs = Math.max(probeEveryMs + probeTimeoutMs, freshMs * OWN_PROBE_SHARE);
-  if (unheardMs < freshMs - leftMs) return Number.POSITIVE_INFINITY;
-  return Math.min(MAX_PACE_MS, Math.max(probeEveryMs, unheardMs / FAILING_PACE));
+  // Leaves enough time for the response to arrive before the last report expires.
+  const marginMs = Math.max(probeEveryMs + probeTimeoutMs, freshMs * OWN_PROBE_FRACTION);
+  if (silentMs < freshMs - marginMs) return Number.POSITIVE_INFINITY;
+  return Math.min(MAX_PROBE_INTERVAL_MS, Math.max(probeEveryMs, silentMs / PROBE_INTERVAL_DIVISOR));
 }
 
 function groupByDomain(entries: readonly Prober[]): ReadonlyMap<string, readonly Prober[]> {
@@ -148,7 +158,7 @@
 const FNV_PRIME = 0x01000193;
 const HASH_RANGE = 2 ** 32;
 
-/** A number in [0, 1) that depends on `text` alone: FNV-1a with a final mix. */
+/** Hashes `text` to a number in [0, 1), using FNV-1a with a finalizer. */
 export function hashFraction(text: string): number {
   let hash = FNV_OFFSET;
   for (let at = 0; at < text.length; at += 1) {
--- a/src/controllers/health/record.ts
+++ b/src/controllers/health/record.ts
@@ -1,9 +1,9 @@
 /**
- * What one event teaches about one backend server. Each function gives the new entry of the
- * board's `health` section from the one before.
+ * Updates the health record of one backend server after an event. Each function returns the new
+ * value for the board's `health` section, given the previous one.
  *
- * Instants are of this process's clock and lean to the safe side: a report counts as heard when it
- * was asked for, not when it came, so that a slow answer is never taken for a fresh one.
+ * Times are of this process's clock. A report is dated by when it was requested, not when it
+ * arrived, so that a slow response is never considered fresh.
  */
 import type { EngineReport } from '../../adapters/engines/protocol.js';
 import type { InstanceHealth } from '../../board/index.js';
@@ -12,10 +12,10 @@
 const NEVER = Number.NEGATIVE_INFINITY;
 
 /**
- * A probe sent at `askedAt` brought `report`.
+ * Records `report`, returned by a probe sent at `askedAt`.
  *
- * A probe may have been under way when a request failed; its answer says nothing about the time
- * after the failure. So failing ends only with a report that was asked for after the last failure.
+ * Only a report requested after the last failure clears the failing state: the response to a probe
+ * that was in flight when a request failed says nothing about the time after the failure.
  *
  * @example health = recordReport(health, report, askedAt);
  */
@@ -25,16 +25,16 @@
   askedAt: Milliseconds,
 ): InstanceHealth {
   if (previous !== undefined && previous.heardAt > askedAt) return previous;
-  const heard: InstanceHealth = { report, heardAt: askedAt };
+  const updated: InstanceHealth = { report, heardAt: askedAt };
   const failedAt = previous?.failedAt;
-  if (previous?.failingSince === undefined || failedAt === undefined) return heard;
-  if (askedAt > failedAt) return heard;
-  return { ...heard, failingSince: previous.failingSince, failedAt };
+  if (previous?.failingSince === undefined || failedAt === undefined) return updated;
+  if (askedAt > failedAt) return updated;
+  return { ...updated, failingSince: previous.failingSince, failedAt };
 }
 
 /**
- * A peer passed on a report that it heard `ageMs` ago. `transitMs` is the longest time that the
- * peer's message can have been under way; it counts as age.
+ * Records a report relayed by a peer. Its age is at most `ageMs` plus `transitMs`, and is taken to
+ * be just that.
  */
 export function recordPassedReport(
   previous: InstanceHealth | undefined,
@@ -47,8 +47,8 @@
 }
 
 /**
- * A probe or a request failed at `now`. It counts at once: the replica is out of service until a
- * later report shows the instance well.
+ * Records a probe or request that failed at `now`. The replica is out of service until a later
+ * report shows that the instance has recovered.
  */
 export function recordFailure(
   previous: InstanceHealth | undefined,
@@ -59,14 +59,15 @@
 }
 
 /**
- * A plain service answered at `now`: it has no probes, so its answers are what ends its failing.
+ * Records a response of a plain service at `now`. Since services are not probed, responses are what
+ * clears their failing state.
  */
 export function recordAnswer(now: Milliseconds): InstanceHealth {
   return { heardAt: now };
 }
 
-/** A peer found the instance failing `ageMs` ago; ignored when a later report is known. */
-export function recordPassedFailure(
+/** Records a failure that a peer reported `ageMs` ago; ignored if a later report is known. */
+export function recordRelayedFailure(
   previous: InstanceHealth | undefined,
   ageMs: Milliseconds,
   now: Milliseconds,
--- a/src/controllers/membership/gossip.ts
+++ b/src/controllers/membership/gossip.ts
@@ -96,9 +96,9 @@
 }
 
 /**
- * Composes the message for a target: this entry's own digest, then everything that the target is not
- * known to hold and that fits the budget. Digests with content take precedence over summaries, and
- * summaries over heartbeats.
+ * Composes the message for a target: this entry's own digest, then everything that the target is
+ * not known to hold and that fits the budget. Digests with content take precedence over summaries,
+ * and summaries over heartbeats.
  */
 export function composeMessage(
   state: GossipState,
@@ -141,7 +141,9 @@
   return pending.map((record) => toDigest(record, acknowledged, now));
 }
 
-/** Length of a value in a JSON list, including the comma. Names are ASCII, so characters are bytes. */
+/**
+ * Length of a value in a JSON list, including the comma. Names are ASCII, so characters are bytes.
+ */
 function encodedLength(value: unknown): number {
   return JSON.stringify(value).length + 1;
 }
@@ -208,12 +210,16 @@
   return heardDirectlyAt === undefined ? record : { ...record, heardDirectlyAt };
 }
 
-/** Between incarnations the later digest wins; at the same time, the one sent by the entry itself. */
+/**
+ * Between incarnations the later digest wins; at the same time, the one sent by the entry itself.
+ */
 function isNewer(heardAt: Milliseconds, previous: PeerRecord, isDirect: boolean): boolean {
   return isDirect ? heardAt >= previous.heardAt : heardAt > previous.heardAt;
 }
 
-/** Records that `peer` holds `digest`, because it sent it or acknowledged a message containing it. */
+/**
+ * Records that `peer` holds `digest`, because it sent it or acknowledged a message containing it.
+ */
 function recordAcknowledged(
   state: GossipState,
   peer: string,
--- a/src/controllers/membership/messages.ts
+++ b/src/controllers/membership/messages.ts
@@ -97,7 +97,9 @@
   ageMs: nonNegative,
   /** Number of entries of the domain, listed or live. */
   entries: count,
-  /** The lowest revision that any entry of the domain has in force; 0 for an entry not heard from. */
+  /**
+   * The lowest revision that any entry of the domain has in force; 0 for an entry not heard from.
+   */
   revision: count,
   /** Entries whose revision is below the newest in the domain, lowest first; truncated. */
   behind: z
--- a/src/controllers/membership/peers.ts
+++ b/src/controllers/membership/peers.ts
@@ -67,8 +67,8 @@
 }
 
 /**
- * Chooses the peer to pull missing configuration from: preferably the one just heard from, otherwise
- * a random peer that is ahead; undefined if none is.
+ * Chooses the peer to pull missing configuration from: preferably the one just heard from,
+ * otherwise a random peer that is ahead; undefined if none is.
  */
 export function choosePullSource(
   options: PullSourceOptions,
--- a/src/controllers/membership/round-planning.ts
+++ b/src/controllers/membership/round-planning.ts
@@ -49,9 +49,10 @@
 
 /**
  * Returns the bytes that a round may spend. A round without updates leaves a reserve, so that a
- * failure, a leaving instance or a configuration change need not wait for the budget to be refilled.
+ * failure, a leaving instance or a configuration change need not wait for the budget to be
+ * refilled.
  *
- * @example const bytesLeft = findSpendable(budget, bytesPerSecond, hasNews);
+ * @example const bytesLeft = computeSpendableBytes(budget, bytesPerSecond, hasUpdates);
  */
 export function findSpendable(
   budget: ByteBudget,
@@ -108,8 +109,8 @@
 }
 
 /**
- * Lists the digests that may be relayed to an entry of `targetDomain`: all of them in a small fleet;
- * in a large one, only those of a shared domain, since summaries cover the others.
+ * Lists the digests that may be relayed to an entry of `targetDomain`: all of them in a small
+ * fleet; in a large one, only those of a shared domain, since summaries cover the others.
  */
 export function listRelayed(options: RelayOptions): readonly PeerRecord[] {
   const { peers, isLarge, failureDomain, targetDomain } = options;
--- a/src/controllers/membership/watchers.ts
+++ b/src/controllers/membership/watchers.ts
@@ -41,7 +41,7 @@
  * Without it, each entry makes one call per change, and a large fleet exceeds the platform's rate
  * limit. Changes during the delay are delivered together.
  *
- * @example const pauseMs = findWatchPause(peers.size + 1);
+ * @example const delayMs = computeWatchDelay(peers.size + 1);
  */
 export function findWatchPause(entries: number): Milliseconds {
   return Math.max(MIN_WATCH_DELAY_MS, (entries / MAX_WATCH_CALLS_PER_SECOND) * MS_PER_SECOND);
--- a/src/controllers/status/status.ts
+++ b/src/controllers/status/status.ts
@@ -6,7 +6,7 @@
 import type { Milliseconds } from '../../core/clock/index.js';
 import { matchesSelector } from '../../core/labels/index.js';
 import { replicaPhaseSchema, type Replica } from '../../objects/index.js';
-import { findObstacle, listServiceInstances } from '../health/index.js';
+import { findIneligibility, listServiceInstances } from '../health/index.js';
 
 const count = z.number().int().nonnegative();
 
@@ -130,14 +130,14 @@
 ): ReplicaStatus {
   const { id, phase } = replica;
   const members = replica.members.map((member) => member.instance);
-  const obstacle = findObstacle(view, replica, now, view.freshMs);
+  const obstacle = findIneligibility(view, replica, now, view.freshMs);
   const status = { id, fabricDomain, phase, members, serving: obstacle === undefined };
   if (obstacle === undefined) return status;
   return { ...status, reason: explainObstacle(obstacle, phase) };
 }
 
 function explainObstacle(
-  obstacle: NonNullable<ReturnType<typeof findObstacle>>,
+  obstacle: NonNullable<ReturnType<typeof findIneligibility>>,
   phase: Replica['phase'],
 ): string {
   switch (obstacle.kind) {
