--- a/src/controllers/freshness/bounds.ts
+++ b/src/controllers/freshness/bounds.ts
@@ -1,37 +1,41 @@
 /**
- * How old a proof may grow, as parts of the time within which gateways must know of a change.
+ * Maximum ages of a freshness proof, as fractions of the time within which gateways must learn of a
+ * change.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 
-/** Ages of a proof at which something is done. */
+/** Age limits of a proof, and the minimum interval between reads. */
 export interface ProofBounds {
-  /** Who follows the store asks it again. */
+  /** Age at which a gateway that follows the store queries it again. */
   askAfterMs: Milliseconds;
-  /** Who relies on another's news, heard every `periodMs`, follows the store itself. */
+  /**
+   * Age at which a gateway that relies on another one's updates, received every `periodMs`, follows
+   * the store itself.
+   */
   distrustAfterMs(periodMs: Milliseconds): Milliseconds;
-  /** Between two readings of one that others tell of each change. */
+  /** Minimum interval between reads by a gateway that peers notify of each change. */
   readEveryMs: Milliseconds;
 }
 
 /**
- * A change may have come at the moment of the last proof; what is left of the time is for the call, a
- * second one on another connection and the way to the other gateways, some 0.5 s together.
+ * A change may occur right after the last proof. The remaining time is for the call, a retry on
+ * another connection and the propagation to the other gateways, about 0.5 s in total.
  */
-const ASK_PART = 0.5;
-/** What is left is for one call, and a second one on another connection. */
-const DISTRUST_PART = 0.75;
-/** Where changes follow each other faster, each gateway would read each, though the next replaces it. */
-const READ_EVERY_PART = 0.25;
-/** The way of an answer and of an exchange; with less all would follow for nothing. */
-const WAY_MS: Milliseconds = 200;
+const RECHECK_FRACTION = 0.5;
+/** Leaves time for one call and a retry on another connection. */
+const FALLBACK_FRACTION = 0.75;
+/** Limits reads during a burst of changes, since only the latest one is needed. */
+const READ_INTERVAL_FRACTION = 0.25;
+/** Latency of a response and an exchange; with less, gateways would follow the store needlessly. */
+const LATENCY_MARGIN_MS: Milliseconds = 200;
 
-/** The bounds where a change must be known after `boundMs`. */
+/** Derives the bounds from the time within which a change must be known. */
 export function boundProofs(boundMs: Milliseconds): ProofBounds {
-  const askAfterMs = ASK_PART * boundMs;
+  const askAfterMs = RECHECK_FRACTION * boundMs;
   return {
     askAfterMs,
-    readEveryMs: READ_EVERY_PART * boundMs,
+    readEveryMs: READ_INTERVAL_FRACTION * boundMs,
     distrustAfterMs: (periodMs) =>
-      Math.max(DISTRUST_PART * boundMs, askAfterMs + periodMs + WAY_MS),
+      Math.max(FALLBACK_FRACTION * boundMs, askAfterMs + periodMs + LATENCY_MARGIN_MS),
   };
 }
--- a/src/controllers/freshness/proof.ts
+++ b/src/controllers/freshness/proof.ts
@@ -1,21 +1,20 @@
 /**
- * The age of a belief: since when it is known that nothing newer had been written.
+ * Proof that a cached value is fresh: the latest time at which it was known to be the newest.
  *
- * Only an answer proves that, and only for the moment at which its call was sent: that a watch is
- * quiet proves nothing, since its connection may bring nothing any more.
+ * Only a response proves freshness, as of the time at which its request was sent. A silent watch
+ * proves nothing, since its connection may be broken.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 
-/** Where a proof came from. */
 export type ProofSource = 'store' | 'peer';
 
-/** What is believed was the newest at `at`. */
+/** Proves that the cached value was the newest at `at`. */
 export interface Proof {
   at: Milliseconds;
   source: ProofSource;
 }
 
-/** The later of two proofs. */
+/** Returns the later of two proofs; the known one if they are equally old. */
 export function laterProof(known: Proof | undefined, offered: Proof): Proof {
   return known !== undefined && known.at >= offered.at ? known : offered;
 }
@@ -26,7 +25,7 @@
   return age === undefined ? undefined : Math.ceil(age);
 }
 
-/** How long ago a belief was proved; undefined when it never was. */
+/** Returns the age of a proof; undefined if there is none. */
 export function ageOf(proof: Proof | undefined, now: Milliseconds): Milliseconds | undefined {
   return proof && Math.max(0, now - proof.at);
 }
