--- a/src/controllers/status/status.ts
+++ b/src/controllers/status/status.ts
@@ -1,5 +1,6 @@
 /**
- * What operators see: for everything they wrote, what is in force and why something is not.
+ * The status shown to operators: for each configured object, what is in force, and the reason if it
+ * is not.
  */
 import * as z from 'zod';
 import type { Attempts, Board, Configuration, Fleet, Health, Plans } from '../../board/index.js';
@@ -16,15 +17,15 @@
     incarnation: z.string(),
     failureDomain: z.string(),
     ready: z.boolean(),
-    /** Why it is not ready. */
+    /** Why the entry is not ready. */
     reason: z.string().optional(),
   }),
   configuration: z.object({
     revision: count,
-    /** Since platform or peers last confirmed it; absent before the first time. */
+    /** Time since the platform or a peer last confirmed it; absent until first confirmed. */
     confirmedAgeMs: z.number().optional(),
     acceptance: z.enum(['accepted', 'pending']),
-    /** Entries that do not have it in force, as far as is known. */
+    /** Entries not known to have the revision in force. */
     lagging: z.array(z.object({ name: z.string(), revision: count.optional() })),
     rejected: z.array(
       z.object({ kind: z.string(), name: z.string(), version: count, reason: z.string() }),
@@ -52,11 +53,11 @@
           phase: replicaPhaseSchema,
           members: z.array(z.string()),
           serving: z.boolean(),
-          /** Why it does not serve. */
+          /** Why the replica is not serving. */
           reason: z.string().optional(),
         }),
       ),
-      /** Why fewer replicas serve than are wanted. */
+      /** Why fewer replicas are serving than wanted. */
       reason: z.string().optional(),
     }),
   ),
@@ -81,7 +82,7 @@
 type ReplicaStatus = ModelStatus['replicas'][number];
 type ServiceStatus = Status['services'][number];
 
-/** What the status of models and services is made from. */
+/** The data from which the status of models and services is derived. */
 export interface ServingView {
   configuration: Configuration;
   fleet: Fleet;
@@ -91,7 +92,7 @@
   freshMs: Milliseconds;
 }
 
-/** The sections of `board` that {@link describeModels} and {@link describeServices} need. */
+/** Reads the board sections required by {@link describeModels} and {@link describeServices}. */
 export function readServingView(board: Board, freshMs: Milliseconds): ServingView {
   return {
     configuration: board.configuration.read(),
@@ -103,14 +104,14 @@
   };
 }
 
-/** Each model with its replicas and what keeps them from serving. */
+/** Describes each model and its replicas, with the reasons why they are not serving. */
 export function describeModels(view: ServingView, now: Milliseconds): ModelStatus[] {
   return [...view.configuration.models].map(([name, { value }]) => {
     const replicas = listReplicas(view, name, now);
     const serving = replicas.filter((replica) => replica.serving).length;
     const status = { name, wanted: value.replicas, serving, replicas };
     if (serving >= value.replicas) return status;
-    return { ...status, reason: explainMissing(value.replicas, replicas) };
+    return { ...status, reason: explainShortfall(value.replicas, replicas) };
   });
 }
 
@@ -130,46 +131,46 @@
 ): ReplicaStatus {
   const { id, phase } = replica;
   const members = replica.members.map((member) => member.instance);
-  const obstacle = findIneligibility(view, replica, now, view.freshMs);
-  const status = { id, fabricDomain, phase, members, serving: obstacle === undefined };
-  if (obstacle === undefined) return status;
-  return { ...status, reason: explainObstacle(obstacle, phase) };
+  const ineligibility = findIneligibility(view, replica, now, view.freshMs);
+  const status = { id, fabricDomain, phase, members, serving: ineligibility === undefined };
+  if (ineligibility === undefined) return status;
+  return { ...status, reason: explainIneligibility(ineligibility, phase) };
 }
 
-function explainObstacle(
-  obstacle: NonNullable<ReturnType<typeof findIneligibility>>,
+function explainIneligibility(
+  ineligibility: NonNullable<ReturnType<typeof findIneligibility>>,
   phase: Replica['phase'],
 ): string {
-  switch (obstacle.kind) {
+  switch (ineligibility.kind) {
     case 'phase':
       return `it is ${phase}`;
     case 'unknownMember':
-      return `the platform does not list ${obstacle.member}`;
+      return `the platform does not list ${ineligibility.member}`;
     case 'leaving':
-      return `${obstacle.member} is leaving`;
+      return `${ineligibility.member} is leaving`;
     case 'unheard':
-      return `${obstacle.member} has not been heard lately`;
+      return `${ineligibility.member} has not been heard lately`;
     case 'failing':
-      return `${obstacle.member} is failing`;
+      return `${ineligibility.member} is failing`;
     case 'otherIncarnation':
-      return `${obstacle.member} has been restarted`;
+      return `${ineligibility.member} has been restarted`;
     case 'otherReplica':
-      return `${obstacle.member} reports another replica or fencing number`;
+      return `${ineligibility.member} reports another replica or fencing number`;
     case 'notReady':
-      return `${obstacle.member} is not ready`;
+      return `${ineligibility.member} is not ready`;
   }
 }
 
-function explainMissing(wanted: number, replicas: readonly ReplicaStatus[]): string {
+function explainShortfall(wanted: number, replicas: readonly ReplicaStatus[]): string {
   const missing = wanted - replicas.length;
-  const idle = replicas.filter((replica) => !replica.serving).length;
+  const notServing = replicas.filter((replica) => !replica.serving).length;
   const parts: string[] = [];
   if (missing > 0) parts.push(`${missing} of ${wanted} replicas have no instances`);
-  if (idle > 0) parts.push(`${idle} do not serve`);
+  if (notServing > 0) parts.push(`${notServing} do not serve`);
   return parts.join(', ');
 }
 
-/** Each service with its instances and what keeps them from being sent calls. */
+/** Describes each service and its instances, with the reasons why they are not serving. */
 export function describeServices(view: ServingView, now: Milliseconds): ServiceStatus[] {
   return [...view.configuration.services].map(([name, { value }]) => {
     const serving = listServiceInstances(view, value, now, view.freshMs).map((c) => c.instance);
