--- a/features/membership/rates.feature
+++ b/features/membership/rates.feature
@@ -1,4 +1,4 @@
-Feature: Entries keep within the platform's calls and their own bytes
+Feature: Entries limit their calls to the platform and their gossip traffic
 
   Scenario: A fleet of any size makes a bounded number of watch calls
     # Guards against a large fleet exceeding the platform's rate limit with one watch call per
--- a/src/controllers/health/record.ts
+++ b/src/controllers/health/record.ts
@@ -33,17 +33,17 @@
 }
 
 /**
- * Records a report relayed by a peer. Its age is at most `ageMs` plus `transitMs`, and is taken to
- * be just that.
+ * Records a report relayed by a peer. Its age is at most `ageMs` plus `maxExtraAgeMs`, which is the
+ * age assumed.
  */
 export function recordPassedReport(
   previous: InstanceHealth | undefined,
   report: EngineReport,
   ageMs: Milliseconds,
-  transitMs: Milliseconds,
+  maxExtraAgeMs: Milliseconds,
   now: Milliseconds,
 ): InstanceHealth {
-  return recordReport(previous, report, now - ageMs - transitMs);
+  return recordReport(previous, report, now - ageMs - maxExtraAgeMs);
 }
 
 /**
