--- a/bench/profile/stand-in-peers.ts
+++ b/bench/profile/stand-in-peers.ts
@@ -5,8 +5,8 @@
 import { rankByRendezvous } from '../../src/controllers/membership/rendezvous.js';
 import type { Digest, DomainSummary, KnownPeer } from '../../src/controllers/peering/index.js';
 import type { RpcListener } from '../../src/adapters/peers/index.js';
-import { createPeerCalls, createPeerListener } from '../../src/gateway/peers/link.js';
-import type { FleetNews } from '../../src/gateway/store/fleet-part.js';
+import { createPeerClient, createPeerListener } from '../../src/gateway/peers/rpc.js';
+import type { FleetUpdate } from '../../src/gateway/store/fleet-part.js';
 import { nextAddress } from '../../features/support/ports.js';
 
 /** Who is there, and who of them speaks for the first failure domain. */
@@ -48,7 +48,7 @@
 export class StandInPeers {
   versions: HubVersions = { configurationVersion: 0, fleetRevision: 0 };
   exchanges = 0;
-  private readonly calls = createPeerCalls();
+  private readonly calls = createPeerClient();
   private readonly listener: RpcListener;
 
   constructor(
@@ -59,8 +59,8 @@
     this.listener = createPeerListener(names.hub.address, {
       exchange: () => this.answer(),
       catchUp: () => ({}),
-      takeNews: () => undefined,
-      hearOf: () => undefined,
+      applyFleetUpdate: () => undefined,
+      noteConfigurationVersion: () => undefined,
     });
   }
 
@@ -69,13 +69,13 @@
   }
 
   /** Passes changes of backend servers on as a hub does. */
-  tell(address: string, news: FleetNews): Promise<void> {
-    return this.calls.news(address, news);
+  tell(address: string, news: FleetUpdate): Promise<void> {
+    return this.calls.sendFleetUpdate(address, news);
   }
 
   /** Tells of a version of the configuration. */
   notice(address: string, configurationVersion: number): Promise<void> {
-    return this.calls.notice(address, configurationVersion);
+    return this.calls.notifyConfigurationVersion(address, configurationVersion);
   }
 
   async close(): Promise<void> {
--- a/bench/soak/inject.ts
+++ b/bench/soak/inject.ts
@@ -100,9 +100,9 @@
       await server.link.control({ resetAll: true });
       return nameOf(server);
     case 'lateOrders':
-      engine.standIn.lateByMs = forMs;
+      engine.standIn.orderDelayMs = forMs;
       await sleep(forMs);
-      engine.standIn.lateByMs = 0;
+      engine.standIn.orderDelayMs = 0;
       return nameOf(engine);
   }
 }
--- a/bench/soak/site.ts
+++ b/bench/soak/site.ts
@@ -53,7 +53,7 @@
     for (let index = 0; index < ENGINES; index += 1) await this.addServer(`fabric-${index % 2}`);
     for (let index = 0; index < PLAIN_SERVERS; index += 1) await this.addServer();
     for (let index = 0; index < gateways; index += 1) await this.addGateway();
-    for (const { process } of this.gateways) await this.site.whenReady(process);
+    for (const { process } of this.gateways) await this.site.waitUntilReady(process);
     await waitFor('replicas to open', () => this.site.listOpen().length >= ENGINES / 2);
   }
 
--- a/features/gateway/configuration-pace.steps.ts
+++ b/features/gateway/configuration-pace.steps.ts
@@ -62,7 +62,7 @@
   async function (this: PaceWorld, versions: string, everyMs: string) {
     for (let sent = 0; sent < Number(versions); sent += 1) {
       this.version += 1;
-      this.part.hearOf(this.version);
+      this.part.noteVersion(this.version);
       await sleep(Number(everyMs));
     }
   },
--- a/features/gateway/decisions.steps.ts
+++ b/features/gateway/decisions.steps.ts
@@ -8,14 +8,14 @@
 import {
   applyFleetChanges,
   EMPTY_FLEET,
-  estimateStream,
+  estimateStreamMs,
   EventStream,
   expireVanished,
   type FleetChange,
-  latestBeginning,
-  listChanges,
+  latestStart,
+  diffFleet,
   planStop,
-  RepeatBudget,
+  RetryBudget,
   SlownessTable,
   type RequestTime,
   type ServingFleet,
@@ -87,7 +87,7 @@
         const from = Math.max(0, Number(stream.lastEventId ?? 0) - back);
         const rest = whole.split('\n\n').slice(from).join('\n\n');
         const second = pushChunks(stream, rest, sizes, Infinity);
-        return first + second === whole && !stream.isMidEvent;
+        return first + second === whole && !stream.hasPartialEvent;
       });
   },
 );
@@ -105,7 +105,7 @@
   function (this: DecisionWorld, gateways: number, loads: number) {
     const load = fc.array(fc.nat({ max: 30 }), { minLength: 20, maxLength: 60 });
     this.repeats = fc.sample(load, { numRuns: loads, seed: SEED }).map((rates) => {
-      const budgets = Array.from({ length: gateways }, () => new RepeatBudget(REPEAT_LIMITS));
+      const budgets = Array.from({ length: gateways }, () => new RetryBudget(REPEAT_LIMITS));
       return Array.from({ length: STEPS }, (_, step) => {
         const at = step * STEP_MS;
         const requests = rates[step % rates.length] ?? 0;
@@ -145,7 +145,7 @@
 
 Given('a fleet of {int} backend servers', function (this: DecisionWorld, servers: number) {
   const listed = Array.from({ length: servers }, (_, index) => createServer(`i-${index}`));
-  this.fleet = applyFleetChanges(EMPTY_FLEET, listChanges(EMPTY_FLEET, listed), 5, 0, 0);
+  this.fleet = applyFleetChanges(EMPTY_FLEET, diffFleet(EMPTY_FLEET, listed), 5, 0, 0);
 });
 
 When(
@@ -177,7 +177,7 @@
 When(
   'the store returns without them and {int} reappear in time',
   function (this: DecisionWorld, back: number) {
-    const absent = listChanges(this.fleet, []);
+    const absent = diffFleet(this.fleet, []);
     const empty = applyFleetChanges(this.fleet, absent, 9, RETURN_AT, REMOVED_AT);
     const returned = Array.from({ length: back }, (_, index) => createServer(`i-${index}`));
     const changes = returned.map((server) => ({ kind: 'present' as const, server }));
@@ -212,7 +212,7 @@
       .sample(requests, { numRuns: count, seed: SEED })
       .map(({ at, waitMs, ...rest }) => {
         const request = { ...rest, at, answerBy: at + waitMs };
-        return { ...request, isStarted: at <= latestBeginning(plan, request) };
+        return { ...request, isStarted: at <= latestStart(plan, request) };
       });
   },
 );
@@ -270,9 +270,9 @@
   };
   const model = { name: 'small', size: 2, pace: 0.5, share: 1, loadMs: 1, warmMs: 1 };
   const route = { targetMs: 300 };
-  assert.equal(estimateStream(route, profile, model, 1_000, 0), Infinity);
+  assert.equal(estimateStreamMs(route, profile, model, 1_000, 0), Infinity);
   // The prompt takes 1000 / 50, each of 100 tokens 8 + 0.2 x 10, and the model's pace halves the sum.
-  assert.equal(estimateStream(route, profile, model, 1_000, 100), 300 + 510);
+  assert.equal(estimateStreamMs(route, profile, model, 1_000, 100), 300 + 510);
 });
 
 When(
--- a/features/gateway/decoders.steps.ts
+++ b/features/gateway/decoders.steps.ts
@@ -10,11 +10,11 @@
   applyFleetChanges,
   createTargetDirectory,
   EMPTY_FLEET,
-  readEntry,
+  resolveEntry,
   type ServingFleet,
 } from '../../src/controllers/forwarding/index.js';
 import { parseJson } from '../../src/core/json/index.js';
-import { fleetNewsSchema, versionsSchema } from '../../src/gateway/peers/messages.js';
+import { fleetUpdateSchema, versionsSchema } from '../../src/gateway/peers/messages.js';
 import type { BackendServer, StoreChange, StoreObject } from '../../src/ports/index.js';
 import { createServer, PROFILE } from './planning-model.js';
 import { exampleConfiguration } from './stand-ins/configuration.js';
@@ -86,7 +86,7 @@
   (body) => platform.decodeServer('i-1', parseJson(body)),
   (body) => platform.decodeServer(body, entryOf(1)),
   (body) => platform.decodeConfiguration(parseJson(body)),
-  (body) => fleetNewsSchema.safeParse(parseJson(body)),
+  (body) => fleetUpdateSchema.safeParse(parseJson(body)),
   (body) => versionsSchema.safeParse(parseJson(body)),
   (body) => digestSchema.safeParse(parseJson(body)),
 ];
@@ -232,7 +232,7 @@
 
 /** Applies the entry `id` to `fleet` as a gateway does. */
 function applyEntry(fleet: ServingFleet, id: string, entry: unknown): ServingFleet {
-  const server = readEntry(fleet.servers.get(id), platform.decodeServer(id, entry));
+  const server = resolveEntry(fleet.servers.get(id), platform.decodeServer(id, entry));
   const changes = server ? [{ kind: 'present' as const, server }] : [];
   return applyFleetChanges(fleet, changes, fleet.revision + 1, 0, 0);
 }
--- a/features/gateway/entries.steps.ts
+++ b/features/gateway/entries.steps.ts
@@ -65,12 +65,12 @@
 
 Given('a gateway that is ready', async function (this: GatewayWorld) {
   this.gateway = await this.site.startGateway();
-  await this.site.whenReady(this.gateway);
+  await this.site.waitUntilReady(this.gateway);
 });
 
 When('a gateway has started and a second server appears', async function (this: GatewayWorld) {
   this.gateway = await this.site.startGateway();
-  await this.site.whenReady(this.gateway);
+  await this.site.waitUntilReady(this.gateway);
   UNREADABLE_ITEMS.forEach((item, index) => {
     this.site.store.putRaw('servers', `later-rubbish-${index}`, item);
   });
@@ -123,7 +123,7 @@
     const { id } = firstServer(this).options;
     const before = this.site.journal.length;
     for (let index = 0; index < REQUEST_COUNT; index += 1) {
-      assert.equal((await this.site.ask(this.gateway, LIST)).status, 200);
+      assert.equal((await this.site.request(this.gateway, LIST)).status, 200);
     }
     const misrouted = this.site.journal.slice(before).filter(({ server }) => server === id);
     assert.equal(misrouted.length, 0);
@@ -143,7 +143,7 @@
   const before = site.journal.length;
   try {
     await waitFor('requests at all servers', async () => {
-      await site.ask(gateway, LIST);
+      await site.request(gateway, LIST);
       const serversReached = new Set(site.journal.slice(before).map(({ server }) => server));
       return serversReached.size === site.servers.length;
     });
--- a/features/gateway/explaining.steps.ts
+++ b/features/gateway/explaining.steps.ts
@@ -82,7 +82,7 @@
     }
     this.site.configure();
     this.gateway = await this.site.launch({ ...this.site.planGateway(), readsLog: false });
-    await this.site.whenReady(this.gateway);
+    await this.site.waitUntilReady(this.gateway);
   },
 );
 
@@ -91,7 +91,7 @@
   async function (this: GatewayWorld, count: number, path: string, atOnce: number) {
     const ask = async (): Promise<void> => {
       while (this.answers.length < count) {
-        this.answers.push(await this.site.ask(this.gateway, { path }));
+        this.answers.push(await this.site.request(this.gateway, { path }));
       }
     };
     await Promise.all(Array.from({ length: atOnce }, ask));
@@ -105,8 +105,12 @@
 
 Then('the gateway has left lines out and counted them', async function (this: GatewayWorld) {
   await waitFor('lines left out', async () => {
-    await this.site.ask(this.gateway, { path: '/list/1' });
-    const { body } = await this.site.ask(this.gateway, { path: '/metrics' }, this.gateway.metrics);
+    await this.site.request(this.gateway, { path: '/list/1' });
+    const { body } = await this.site.request(
+      this.gateway,
+      { path: '/metrics' },
+      this.gateway.metrics,
+    );
     return Number(SUPPRESSED_LINES.exec(body)?.[1]) > 0;
   });
 });
--- a/features/gateway/following.steps.ts
+++ b/features/gateway/following.steps.ts
@@ -10,7 +10,10 @@
 import { createFailure } from '../../src/core/errors/index.js';
 import { createRandom } from '../../src/core/random/index.js';
 import type { ObjectStore, StoreFailure } from '../../src/gateway/store/client.js';
-import { createReachabilityTracker, type ContactKeeper } from '../../src/gateway/store/contact.js';
+import {
+  createReachabilityTracker,
+  type ReachabilityTracker,
+} from '../../src/gateway/store/reachability.js';
 import { createFollower, type Follower } from '../../src/gateway/store/follower.js';
 import type { StoreReachability } from '../../src/gateway/types.js';
 import { waitFor } from '../support/waiting.js';
@@ -23,7 +26,7 @@
   listsProcessed: number;
   remainingThrows: number;
   retryAfterMs: number;
-  reachability: ContactKeeper;
+  reachability: ReachabilityTracker;
   section: ReturnType<typeof createSection<StoreReachability>>;
 }
 
--- a/features/gateway/former-lives.steps.ts
+++ b/features/gateway/former-lives.steps.ts
@@ -18,12 +18,15 @@
 } from '../../src/controllers/groups/index.js';
 import { createManualClock, type ManualClock } from '../../src/core/clock/index.js';
 import { createRandom } from '../../src/core/random/index.js';
-import type { EngineCalls, ProbeOutcome } from '../../src/gateway/backends/short-call.js';
+import type { EngineCalls, ProbeOutcome } from '../../src/gateway/backends/engine-calls.js';
 import {
   createMemberMonitor,
   type MemberMonitor,
 } from '../../src/gateway/groups/member-monitor.js';
-import { createBackends, type Backends } from '../../src/gateway/requests/backends.js';
+import {
+  createBackendTracker,
+  type BackendTracker,
+} from '../../src/gateway/requests/backend-tracker.js';
 import type { GatewayContext } from '../../src/gateway/types.js';
 import type { BackendServer, ServingService } from '../../src/ports/index.js';
 import { createServer, createView } from './planning-model.js';
@@ -31,7 +34,7 @@
 interface RestartWorld {
   clock: ManualClock;
   fleet: WritableSection<ServingFleet>;
-  backends: Backends;
+  backends: BackendTracker;
   engine: BackendServer;
   lastModels: (string | undefined)[];
   memberMonitor: MemberMonitor;
@@ -76,10 +79,10 @@
   function (this: RestartWorld, requests: number) {
     this.clock = createManualClock(1_000);
     this.fleet = createSection(applyEntry(EMPTY_FLEET, plainServer(FIRST_STARTED_AT)));
-    this.backends = createBackends(createContext(this.clock, this.fleet));
-    for (let sent = 0; sent < requests; sent += 1) this.backends.sent(ID);
-    this.backends.progressed(ID);
-    this.backends.answered(ID, true);
+    this.backends = createBackendTracker(createContext(this.clock, this.fleet));
+    for (let sent = 0; sent < requests; sent += 1) this.backends.recordSent(ID);
+    this.backends.recordProgress(ID);
+    this.backends.recordResult(ID, true);
     this.backends.suspect(ID, 'nothing came from it');
     assert.equal(this.backends.choose(SERVICE, undefined, NO_SERVERS), undefined);
   },
@@ -92,9 +95,9 @@
 
 function assertNoRecordedState({ backends }: RestartWorld): void {
   const chosen = backends.choose(SERVICE, undefined, NO_SERVERS);
-  assert.equal(chosen?.failing, 0);
+  assert.equal(chosen?.failureRate, 0);
   assert.equal(chosen.inFlight, 0);
-  assert.equal(backends.lastProgress(ID), Number.NEGATIVE_INFINITY);
+  assert.equal(backends.lastProgressAt(ID), Number.NEGATIVE_INFINITY);
   assert.deepEqual([...backends.inFlight()], []);
   assert.deepEqual(backends.suspicions.listAll(0), []);
 }
@@ -107,12 +110,12 @@
   'late results of the {int} requests do not change that, nor does an older suspicion of a peer',
   function (this: RestartWorld, requests: number) {
     this.clock.advance(50);
-    assert.equal(this.backends.learnSuspicion(ID, 100, 1_000), false);
+    assert.equal(this.backends.adoptPeerSuspicion(ID, 100, 1_000), false);
     for (let ended = 0; ended < requests; ended += 1) {
       // As in a real request, results are reported after its end.
-      this.backends.progressed(ID);
-      this.backends.ended(ID);
-      this.backends.answered(ID, true);
+      this.backends.recordProgress(ID);
+      this.backends.recordEnded(ID);
+      this.backends.recordResult(ID, true);
       this.backends.suspect(ID, 'nothing came from it');
       assertNoRecordedState(this);
     }
@@ -123,12 +126,12 @@
   'after they have ended, its own failures and requests are counted',
   async function (this: RestartWorld) {
     await nextTurn();
-    this.backends.sent(ID);
-    this.backends.answered(ID, true);
+    this.backends.recordSent(ID);
+    this.backends.recordResult(ID, true);
     const chosen = this.backends.choose(SERVICE, undefined, NO_SERVERS);
     assert.equal(chosen?.inFlight, 1);
-    assert.ok(chosen.failing > 0);
-    assert.equal(this.backends.learnSuspicion(ID, 10, 1_000), true);
+    assert.ok(chosen.failureRate > 0);
+    assert.equal(this.backends.adoptPeerSuspicion(ID, 10, 1_000), true);
   },
 );
 
--- a/features/gateway/forwarding.steps.ts
+++ b/features/gateway/forwarding.steps.ts
@@ -6,7 +6,7 @@
 
 async function startReadyGateway(world: GatewayWorld): Promise<void> {
   world.gateway = await world.site.startGateway();
-  await world.site.whenReady(world.gateway);
+  await world.site.waitUntilReady(world.gateway);
 }
 
 Given(
@@ -80,7 +80,7 @@
 
 When('a caller asks for {string}', async function (this: GatewayWorld, path: string) {
   this.lastId = this.site.nextId();
-  this.answers = [await this.site.ask(this.gateway, { path })];
+  this.answers = [await this.site.request(this.gateway, { path })];
 });
 
 When(
@@ -88,7 +88,7 @@
   async function (this: GatewayWorld, count: number, path: string) {
     this.answers = [];
     for (let index = 0; index < count; index += 1) {
-      this.answers.push(await this.site.ask(this.gateway, { path }));
+      this.answers.push(await this.site.request(this.gateway, { path }));
     }
   },
 );
@@ -97,7 +97,7 @@
   'a caller with the key {string} asks for {string}',
   async function (this: GatewayWorld, key: string, path: string) {
     const headers = { Authorization: `Bearer ${key}` };
-    this.answers = [await this.site.ask(this.gateway, { path, headers })];
+    this.answers = [await this.site.request(this.gateway, { path, headers })];
   },
 );
 
@@ -116,7 +116,7 @@
     const answer = this.answers.at(-1) ?? (await this.pending);
     assert.equal(answer.status, status, answer.body);
     assert.ok(answer.whole);
-    const [server] = this.site.ranAt(this.lastId);
+    const [server] = this.site.listServersThatRan(this.lastId);
     assert.equal(answer.headers['response-seal'], `seal-${server}`);
     assert.equal(answer.body, `answer to ${this.lastId}`);
   },
@@ -171,15 +171,15 @@
 );
 
 Then('the request ran once', function (this: GatewayWorld) {
-  assert.equal(this.site.ranAt(this.lastId).length, 1);
+  assert.equal(this.site.listServersThatRan(this.lastId).length, 1);
 });
 
 Then('the request did not run', function (this: GatewayWorld) {
-  assert.equal(this.site.ranAt(this.lastId).length, 0);
+  assert.equal(this.site.listServersThatRan(this.lastId).length, 0);
 });
 
 Then('the request ran at {int} servers', function (this: GatewayWorld, servers: number) {
-  assert.equal(new Set(this.site.ranAt(this.lastId)).size, servers);
+  assert.equal(new Set(this.site.listServersThatRan(this.lastId)).size, servers);
 });
 
 Then('no request ran twice', function (this: GatewayWorld) {
@@ -189,7 +189,7 @@
 
 Then('the gateway is not ready', async function (this: GatewayWorld) {
   const { readiness } = this.gateway;
-  const answer = await this.site.ask(this.gateway, { path: '/readyz' }, readiness);
+  const answer = await this.site.request(this.gateway, { path: '/readyz' }, readiness);
   assert.equal(answer.status, 503);
 });
 
--- a/features/gateway/groups.steps.ts
+++ b/features/gateway/groups.steps.ts
@@ -62,7 +62,7 @@
   this.gateway.signal('SIGKILL');
   await this.gateway.exited;
   this.gateway = await this.site.startGateway();
-  await this.site.whenReady(this.gateway);
+  await this.site.waitUntilReady(this.gateway);
 });
 
 Then(
@@ -72,7 +72,7 @@
       this.gateway.lines.some(({ name }) => name === 'domainTaken'),
     );
     const ask = { method: 'POST', path: '/chat/talk', body: '{}' };
-    const answer = await this.site.ask(this.gateway, ask);
+    const answer = await this.site.request(this.gateway, ask);
     assert.equal(answer.status, 200, answer.body);
     assert.deepEqual(listOpenGroups(this), this.groupsBefore);
   },
@@ -90,5 +90,5 @@
 });
 
 Then('{int} groups are open in the end', async function (this: GatewayWorld, groups: number) {
-  await this.site.whenOpen(groups);
+  await this.site.waitForOpenGroups(groups);
 });
--- a/features/gateway/lives.steps.ts
+++ b/features/gateway/lives.steps.ts
@@ -66,7 +66,9 @@
 );
 
 Given('connections to it are kept', async function (this: ProcessRestartWorld) {
-  await Promise.all(Array.from({ length: REQUEST_COUNT }, () => this.site.ask(this.gateway, LIST)));
+  await Promise.all(
+    Array.from({ length: REQUEST_COUNT }, () => this.site.request(this.gateway, LIST)),
+  );
 });
 
 When(
@@ -90,7 +92,7 @@
   async function (this: ProcessRestartWorld) {
     const before = this.site.journal.length;
     for (let asked = 0; asked < REQUEST_COUNT; asked += 1) {
-      assert.equal((await this.site.ask(this.gateway, LIST)).status, 200);
+      assert.equal((await this.site.request(this.gateway, LIST)).status, 200);
     }
     assert.equal(this.site.journal.length, before);
     assert.equal(this.newProcessArrivals.length, REQUEST_COUNT);
--- a/features/gateway/peering-model.ts
+++ b/features/gateway/peering-model.ts
@@ -20,7 +20,7 @@
   /** The request reports that it includes in its digests. */
   reports: RequestReport[] = [];
   /** Servers that other gateways reported to have ended while handling a request. */
-  readonly endsHeard = new Set<string>();
+  readonly reportedServerEnds = new Set<string>();
   private incarnation = 0;
 
   constructor(
@@ -41,7 +41,7 @@
     this.incarnation += 1;
     this.isAlive = true;
     this.table = new PeerTable(this.location);
-    for (const { location } of seeds) this.table.learn(location, now);
+    for (const { location } of seeds) this.table.addPeer(location, now);
   }
 
   createDigest(): Digest {
@@ -60,9 +60,9 @@
   }
 
   applyDigest(digest: Digest, now: number): void {
-    this.table.take(digest, now);
+    this.table.applyDigest(digest, now);
     for (const report of collectReports(digest)) {
-      if (report.kind === 'serverEnded') this.endsHeard.add(report.server);
+      if (report.kind === 'serverEnded') this.reportedServerEnds.add(report.server);
     }
   }
 
@@ -96,7 +96,7 @@
     const until = this.now + ms;
     while (this.now < until) {
       this.now += PEERING_TICK_MS;
-      for (const gateway of this.alive) gateway.table.dropSilent(this.now);
+      for (const gateway of this.alive) gateway.table.removeTimedOut(this.now);
       for (const gateway of this.alive) this.runDueExchanges(gateway);
     }
   }
--- a/features/gateway/placing.steps.ts
+++ b/features/gateway/placing.steps.ts
@@ -5,8 +5,8 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import {
   chooseTarget,
-  drawTargets,
-  splitByPlace,
+  sampleTargets,
+  splitByFailureDomain,
   type Target,
   type TargetList,
   type TargetState,
@@ -52,7 +52,7 @@
     private readonly failureDomain: string,
     private readonly random: Random,
   ) {
-    this.targets = splitByPlace(targets, failureDomain);
+    this.targets = splitByFailureDomain(targets, failureDomain);
   }
 
   receiveLoad(total: ReadonlyMap<string, number>): void {
@@ -62,7 +62,11 @@
   }
 
   choose(): Target | undefined {
-    const states = drawTargets(this.targets, (target) => this.describeTarget(target), this.random);
+    const states = sampleTargets(
+      this.targets,
+      (target) => this.describeTarget(target),
+      this.random,
+    );
     return chooseTarget(states, this.random)?.target;
   }
 
@@ -73,7 +77,7 @@
       inFlight: (this.ownInFlight.get(id) ?? 0) + (this.otherInFlight.get(id) ?? 0),
       slots: SLOTS,
       isRemote: failureDomain !== this.failureDomain,
-      failing: 0,
+      failureRate: 0,
     };
   }
 }
@@ -146,16 +150,16 @@
 );
 
 Given('only one replica of another failure domain can be chosen', function (this: PlacingWorld) {
-  const [only] = splitByPlace(this.targets, HOME_DOMAIN).far;
+  const [only] = splitByFailureDomain(this.targets, HOME_DOMAIN).far;
   this.isEligible = (target) => target === only;
 });
 
 When('a gateway with late news chooses {int} times', function (this: PlacingWorld, times: number) {
   const random = createRandom(1);
-  const list = splitByPlace(this.targets, HOME_DOMAIN);
+  const list = splitByFailureDomain(this.targets, HOME_DOMAIN);
   const evaluate = (target: Target): Target | undefined =>
     this.isEligible(target) ? target : undefined;
-  const draws = Array.from({ length: times }, () => drawTargets(list, evaluate, random));
+  const draws = Array.from({ length: times }, () => sampleTargets(list, evaluate, random));
   this.candidateCounts = draws.map((targets) => targets.length);
   this.chosen = draws.flatMap((targets) => targets.slice(0, 1));
 });
@@ -168,7 +172,7 @@
 );
 
 Then('each replica of its own failure domain is chosen', function (this: PlacingWorld) {
-  const { near } = splitByPlace(this.targets, HOME_DOMAIN);
+  const { near } = splitByFailureDomain(this.targets, HOME_DOMAIN);
   const missing = near.filter((target) => !this.chosen.includes(target));
   assert.deepEqual(missing, []);
 });
--- a/features/gateway/quarantine-decisions.steps.ts
+++ b/features/gateway/quarantine-decisions.steps.ts
@@ -180,7 +180,7 @@
 Then('all know of the three ends {int} ms later', function (this: DecisionWorld, ms: number) {
   this.model.run(ms);
   const uninformed = this.model.gateways.filter(
-    ({ endsHeard, reports }) => endsHeard.size + reports.length < 3,
+    ({ reportedServerEnds: endsHeard, reports }) => endsHeard.size + reports.length < 3,
   );
   assert.deepEqual(
     uninformed.map(({ name }) => name),
--- a/features/gateway/quarantine.steps.ts
+++ b/features/gateway/quarantine.steps.ts
@@ -5,7 +5,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { waitFor } from '../support/waiting.js';
-import { Site, type Ask, type GatewayPlan, type GatewayProcess } from './site.js';
+import { Site, type RequestOptions, type GatewayPlan, type GatewayProcess } from './site.js';
 import type { Arrival } from './stand-ins/engine.js';
 import type { GatewayWorld } from './world.js';
 
@@ -26,7 +26,7 @@
   streams: '/chat/slots',
 };
 
-function createAsk(path: string, body: string): Ask {
+function createAsk(path: string, body: string): RequestOptions {
   return { method: 'POST', path, body };
 }
 
@@ -51,7 +51,7 @@
   const { site, plans } = world;
   site.gateways.length = 0;
   for (const gateway of await Promise.all(plans.map((plan) => site.launch(plan)))) {
-    await site.whenReady(gateway);
+    await site.waitUntilReady(gateway);
     await waitFor('the gateways to hear each other', () =>
       hasHeardPeers(gateway, plans.length - 1),
     );
@@ -70,7 +70,7 @@
     this.site.configure();
     this.plans = Array.from({ length: Number(gateways) }, () => this.site.planGateway());
     await launchAll(this);
-    if (what === 'streams') await this.site.whenOpen(Number(servers) / 2);
+    if (what === 'streams') await this.site.waitForOpenGroups(Number(servers) / 2);
   },
 );
 
@@ -87,7 +87,7 @@
       const gateway = site.gateways[index % site.gateways.length];
       assert.ok(gateway);
       this.lastId = site.nextId();
-      asked.push(site.ask(gateway, createAsk(path, CRASHING_BODY)));
+      asked.push(site.request(gateway, createAsk(path, CRASHING_BODY)));
       await sleep(everyMs);
     }
     await Promise.allSettled(asked);
@@ -128,7 +128,7 @@
   async function (this: QuarantineWorld) {
     for (const gateway of this.site.gateways) {
       const before = listCrashingArrivals(this).length;
-      const answer = await this.site.ask(gateway, createAsk(this.path, CRASHING_BODY));
+      const answer = await this.site.request(gateway, createAsk(this.path, CRASHING_BODY));
       assert.equal(answer.status, 503, answer.body);
       assert.match(answer.body, /quarantined/);
       assert.ok(Number(answer.headers['retry-after']) > 0);
@@ -142,7 +142,7 @@
   async function (this: QuarantineWorld) {
     for (const gateway of this.site.gateways) {
       const answer = await waitFor('an answer', async () => {
-        const reply = await this.site.ask(gateway, createAsk(this.path, 'ordinary'));
+        const reply = await this.site.request(gateway, createAsk(this.path, 'ordinary'));
         return reply.status === 200 && reply;
       });
       assert.ok(answer.whole);
@@ -151,5 +151,5 @@
 );
 
 Then('the last of these sendings reached a server', function (this: QuarantineWorld) {
-  assert.ok(this.site.ranAt(this.lastId).length > 0);
+  assert.ok(this.site.listServersThatRan(this.lastId).length > 0);
 });
--- a/features/gateway/site.ts
+++ b/features/gateway/site.ts
@@ -65,7 +65,7 @@
   whole: boolean;
 }
 
-export interface Ask {
+export interface RequestOptions {
   method?: string;
   path: string;
   headers?: Record<string, string>;
@@ -186,9 +186,9 @@
     return gateway;
   }
 
-  async whenReady(gateway: GatewayProcess): Promise<void> {
+  async waitUntilReady(gateway: GatewayProcess): Promise<void> {
     await waitFor('the gateway to be ready', async () => {
-      const answer = await this.ask(gateway, { path: '/readyz' }, gateway.readiness);
+      const answer = await this.request(gateway, { path: '/readyz' }, gateway.readiness);
       return answer.status === 200;
     });
   }
@@ -198,7 +198,11 @@
     return `request-${this.requestCount + 1}`;
   }
 
-  async ask(gateway: GatewayProcess, ask: Ask, address = gateway.callers): Promise<Answer> {
+  async request(
+    gateway: GatewayProcess,
+    ask: RequestOptions,
+    address = gateway.callers,
+  ): Promise<Answer> {
     this.requestCount += 1;
     const [host = '', port = ''] = address.split(':');
     const headers = { ...exampleHeaders(`request-${this.requestCount}`), ...ask.headers };
@@ -227,14 +231,14 @@
   }
 
   /** The servers that ran the request `id`. */
-  ranAt(id: string): string[] {
+  listServersThatRan(id: string): string[] {
     return this.journal
       .filter((arrival) => arrival.id === id && arrival.ran)
       .map(({ server }) => server);
   }
 
   /** Resolves when exactly `groups` groups are open. */
-  async whenOpen(groups: number): Promise<void> {
+  async waitForOpenGroups(groups: number): Promise<void> {
     await waitFor(`${groups} open groups`, () => this.listOpen().length === groups);
   }
 
--- a/features/gateway/stand-ins/engine.ts
+++ b/features/gateway/stand-ins/engine.ts
@@ -90,7 +90,7 @@
   staged: string[] = [];
   orders: string[] = [];
   /** When positive, orders are not answered and are carried out after this delay. */
-  lateByMs = 0;
+  orderDelayMs = 0;
   /** Replicas that this incarnation was ready in. */
   readonly readyGroups = new Set<string>();
   hasCrashed = false;
@@ -200,9 +200,9 @@
   }
 
   private async takeOrder(order: Order, response: ServerResponse): Promise<void> {
-    if (this.lateByMs > 0) {
+    if (this.orderDelayMs > 0) {
       response.destroy();
-      await sleep(this.lateByMs);
+      await sleep(this.orderDelayMs);
       if (this.hasCrashed) return;
     }
     this.orders.push(`${order.operation} ${order.group}`);
--- a/features/gateway/start-in-outage.steps.ts
+++ b/features/gateway/start-in-outage.steps.ts
@@ -46,7 +46,7 @@
   this.seedLink = link._unsafeUnwrap();
   this.plan = { ...this.site.planGateway(), seeds: [this.seedLink.address] };
   this.gateway = await this.site.launch(first);
-  await this.site.whenReady(this.gateway);
+  await this.site.waitUntilReady(this.gateway);
 });
 
 Given('the store is unavailable', async function (this: StartWorld) {
@@ -65,7 +65,7 @@
   (await this.seedLink.control({ refuse: true }))._unsafeUnwrap();
   this.started = await this.site.launch(this.plan);
   const before = await waitFor('the other one to listen', () =>
-    this.site.ask(this.started, LIST).catch(() => undefined),
+    this.site.request(this.started, LIST).catch(() => undefined),
   );
   assert.equal(before.status, 503);
   this.gateway.signal('SIGTERM');
@@ -93,7 +93,7 @@
     hasEnded = true;
   });
   const status = await waitFor('an answer of the other one, or the end of the first', async () => {
-    const answer = await this.site.ask(this.started, LIST);
+    const answer = await this.site.request(this.started, LIST);
     return answer.status === 200 || hasEnded ? answer.status : undefined;
   });
   assert.equal(status, 200);
--- a/features/gateway/stopping.steps.ts
+++ b/features/gateway/stopping.steps.ts
@@ -9,7 +9,7 @@
 import { waitFor } from '../support/waiting.js';
 import { explainRequest } from '../../src/cli/explain/findings.js';
 import { parseLines } from '../../src/cli/explain/log-lines.js';
-import { Site, type Answer, type Ask, type GatewayProcess } from './site.js';
+import { Site, type Answer, type RequestOptions, type GatewayProcess } from './site.js';
 import { KEY } from './stand-ins/configuration.js';
 import type { GatewayWorld } from './world.js';
 
@@ -63,18 +63,18 @@
 
 async function launchReadyGateway(site: Site, graceMs: number): Promise<GatewayProcess> {
   const gateway = await site.launch({ ...site.planGateway(), graceMs });
-  await site.whenReady(gateway);
+  await site.waitUntilReady(gateway);
   return gateway;
 }
 
 /** Sends a request and records its response, or that there was none. */
 async function ask(
   world: StoppingWorld,
-  request: Ask,
+  request: RequestOptions,
   gateway = world.gateway,
 ): Promise<Answer | undefined> {
   const id = world.site.nextId();
-  const answer = await world.site.ask(gateway, request).catch(() => undefined);
+  const answer = await world.site.request(gateway, request).catch(() => undefined);
   world.attempts.push({ id, answer });
   return answer;
 }
@@ -92,7 +92,7 @@
   async function (this: StoppingWorld, takesMs: number, graceMs: number) {
     await openStreamSite(this, takesMs);
     this.gateway = await launchReadyGateway(this.site, graceMs);
-    await this.site.whenOpen(1);
+    await this.site.waitForOpenGroups(1);
   },
 );
 
@@ -119,7 +119,8 @@
   function (this: StoppingWorld) {
     const last = this.attempts.at(-1);
     assert.ok(last?.answer);
-    if (isRetryableRefusal(last.answer)) assert.deepEqual(this.site.ranAt(last.id), []);
+    if (isRetryableRefusal(last.answer))
+      assert.deepEqual(this.site.listServersThatRan(last.id), []);
     else assert.ok(last.answer.whole && last.answer.status === 200, JSON.stringify(last.answer));
   },
 );
@@ -144,7 +145,7 @@
 
 Given('another ready gateway', async function (this: StoppingWorld) {
   this.otherGateway = await this.site.startGateway();
-  await this.site.whenReady(this.otherGateway);
+  await this.site.waitUntilReady(this.otherGateway);
 });
 
 When(
@@ -152,7 +153,10 @@
   async function (this: StoppingWorld) {
     this.lastId = this.site.nextId();
     const asked = ask(this, STREAM_REQUEST);
-    await waitFor('the stream at its engine', () => this.site.ranAt(this.lastId).length > 0);
+    await waitFor(
+      'the stream at its engine',
+      () => this.site.listServersThatRan(this.lastId).length > 0,
+    );
     await startShutdown(this.gateway);
     await asked;
   },
@@ -212,7 +216,10 @@
   async function (this: StoppingWorld, path: string) {
     this.lastId = this.site.nextId();
     const asked = ask(this, { path, headers: STREAM_REQUEST.headers });
-    await waitFor('the request at its server', () => this.site.ranAt(this.lastId).length > 0);
+    await waitFor(
+      'the request at its server',
+      () => this.site.listServersThatRan(this.lastId).length > 0,
+    );
     await startShutdown(this.gateway);
     await asked;
   },
@@ -254,7 +261,7 @@
     this.outgoing.write(BODY_START);
     await once(this.outgoing, 'socket');
     // A response on a later connection shows that the gateway has read the first part of the body.
-    await this.site.ask(this.gateway, { path: '/nothing/here' });
+    await this.site.request(this.gateway, { path: '/nothing/here' });
     await startShutdown(this.gateway);
   },
 );
@@ -289,13 +296,13 @@
   const answer = this.attempts[0]?.answer;
   assert.ok(answer?.whole);
   assert.equal(answer.status, 200);
-  assert.equal(this.site.ranAt(this.lastId).length, 1);
+  assert.equal(this.site.listServersThatRan(this.lastId).length, 1);
 });
 
 Then('its request is refused with a promise in time', async function (this: StoppingWorld) {
   const answer = this.attempts[0]?.answer;
   assert.ok(answer && isRetryableRefusal(answer), JSON.stringify(answer));
-  assert.deepEqual(this.site.ranAt(this.lastId), []);
+  assert.deepEqual(this.site.listServersThatRan(this.lastId), []);
   const end = (await readLogs(this)).find(({ request }) => request === this.lastId);
   assert.equal(end?.name, 'requestRefusedAtDoor');
   assert.equal(end.kind, 'stopping');
@@ -304,7 +311,7 @@
 
 Then('its request does not run', function (this: StoppingWorld) {
   assert.equal(this.attempts[0]?.answer, undefined);
-  assert.deepEqual(this.site.ranAt(this.lastId), []);
+  assert.deepEqual(this.site.listServersThatRan(this.lastId), []);
 });
 
 const CALLER_REQUESTS = [
@@ -313,7 +320,7 @@
   { method: 'POST', path: '/check/2', body: BODY_START },
   STREAM_REQUEST,
   STREAM_REQUEST,
-] as const satisfies readonly Ask[];
+] as const satisfies readonly RequestOptions[];
 /** Pause between two requests of a caller; keeps the log below its rate limit. */
 const REQUEST_INTERVAL_MS = 60;
 
@@ -325,14 +332,14 @@
     await Promise.all(
       Array.from({ length: gateways }, () => launchReadyGateway(this.site, graceMs)),
     );
-    await this.site.whenOpen(1);
+    await this.site.waitForOpenGroups(1);
   },
 );
 
 /** Sends requests on one connection and moves to the next gateway when it is closed. */
 async function askContinuously(
   world: StoppingWorld,
-  request: Ask,
+  request: RequestOptions,
   signal: AbortSignal,
 ): Promise<void> {
   const { gateways } = world.site;
@@ -383,7 +390,7 @@
   async function (this: StoppingWorld) {
     await readLogs(this);
     for (const { id, answer } of this.attempts) {
-      const runs = this.site.ranAt(id);
+      const runs = this.site.listServersThatRan(id);
       if (answer?.status === 200) assert.equal(runs.length, 1, id);
       else assert.deepEqual(runs, [], `${id}: ${JSON.stringify(answer)}`);
     }
--- a/features/gateway/store-copy.steps.ts
+++ b/features/gateway/store-copy.steps.ts
@@ -42,7 +42,7 @@
 }
 
 function requestAll({ site }: GatewayWorld): Promise<Answer[]> {
-  return Promise.all(site.gateways.map((gateway) => site.ask(gateway, LIST)));
+  return Promise.all(site.gateways.map((gateway) => site.request(gateway, LIST)));
 }
 
 function countRequests({ site }: GatewayWorld, server: EngineStandIn): number {
@@ -61,8 +61,8 @@
   server: EngineStandIn,
 ): Promise<boolean> {
   const id = site.nextId();
-  await site.ask(gateway, LIST);
-  return site.ranAt(id).includes(server.options.id);
+  await site.request(gateway, LIST);
+  return site.listServersThatRan(id).includes(server.options.id);
 }
 
 Given(
@@ -113,7 +113,7 @@
     this.site.configure();
     this.site.store.saveCopy();
     for (let index = 0; index < gateways; index += 1) await this.site.startGateway();
-    await this.site.whenOpen(engines / 2);
+    await this.site.waitForOpenGroups(engines / 2);
     await sleep(500);
     this.groupsBefore = listGroups(this);
   },
@@ -126,7 +126,7 @@
     this.site.configure();
     this.site.store.saveCopy();
     for (let index = 0; index < gateways; index += 1) {
-      await this.site.whenReady(await this.site.startGateway());
+      await this.site.waitUntilReady(await this.site.startGateway());
     }
   },
 );
--- a/features/gateway/store-feed.steps.ts
+++ b/features/gateway/store-feed.steps.ts
@@ -56,7 +56,7 @@
 );
 
 async function waitUntilConnected(world: GatewayWorld, gateways: GatewayProcess[]): Promise<void> {
-  for (const gateway of gateways) await world.site.whenReady(gateway);
+  for (const gateway of gateways) await world.site.waitUntilReady(gateway);
   await waitFor('the gateways to know each other', () =>
     gateways.every(({ lines }) => countLines(lines, 'peerHeard') >= gateways.length - 1),
   );
@@ -191,7 +191,7 @@
   let longestRequestMs = 0;
   await waitFor('the rejection', async () => {
     const sentAt = performance.now();
-    const { status } = await site.ask(gateway, LIST);
+    const { status } = await site.request(gateway, LIST);
     longestRequestMs = Math.max(longestRequestMs, Math.round(performance.now() - sentAt));
     return status === 401;
   });
@@ -207,7 +207,7 @@
     const endAt = performance.now() + forMs;
     while (performance.now() < endAt) {
       for (const gateway of this.site.gateways) {
-        const { body } = await this.site.ask(gateway, { path: '/metrics' }, gateway.metrics);
+        const { body } = await this.site.request(gateway, { path: '/metrics' }, gateway.metrics);
         const age = /belief_age_seconds\{subject="configuration".*\} (\S+)/.exec(body)?.[1];
         assert.ok(Number(age) * 1_000 < youngerMs, `the proof is ${String(age)} s old`);
       }
--- a/features/gateway/store-updates.steps.ts
+++ b/features/gateway/store-updates.steps.ts
@@ -17,7 +17,7 @@
   async function (this: GatewayWorld, ms: number) {
     await waitFor(
       'the refusal',
-      async () => (await this.site.ask(this.gateway, LIST)).status === 401,
+      async () => (await this.site.request(this.gateway, LIST)).status === 401,
       ms,
     );
   },
@@ -37,7 +37,7 @@
 });
 
 Then('a caller is still served', async function (this: GatewayWorld) {
-  assert.equal((await this.site.ask(this.gateway, LIST)).status, 200);
+  assert.equal((await this.site.request(this.gateway, LIST)).status, 200);
 });
 
 When(
@@ -46,7 +46,7 @@
     const { store, servers } = this.site;
     const asked: Promise<Answer>[] = [];
     const timer = setInterval(() => {
-      asked.push(this.site.ask(this.gateway, LIST));
+      asked.push(this.site.request(this.gateway, LIST));
     }, 50);
     try {
       store.fault = 'down';
@@ -87,7 +87,7 @@
       ms,
     );
     const before = this.site.journal.length;
-    for (let index = 0; index < 10; index += 1) await this.site.ask(this.gateway, LIST);
+    for (let index = 0; index < 10; index += 1) await this.site.request(this.gateway, LIST);
     const misrouted = this.site.journal.slice(before).filter(({ server }) => server === id);
     assert.equal(misrouted.length, 0);
   },
@@ -103,7 +103,7 @@
 
 Then('requests reach the second server', async function (this: GatewayWorld) {
   await waitFor('a request there', async () => {
-    await this.site.ask(this.gateway, LIST);
+    await this.site.request(this.gateway, LIST);
     return this.site.journal.some(({ server }) => server === 'plain-late');
   });
 });
@@ -112,8 +112,11 @@
   'the gateway is told to stop while a request is under way',
   async function (this: GatewayWorld) {
     this.lastId = this.site.nextId();
-    const pending = this.site.ask(this.gateway, { path: '/check/in' });
-    await waitFor('the request at its server', () => this.site.ranAt(this.lastId).length > 0);
+    const pending = this.site.request(this.gateway, { path: '/check/in' });
+    await waitFor(
+      'the request at its server',
+      () => this.site.listServersThatRan(this.lastId).length > 0,
+    );
     this.gateway.signal('SIGTERM');
     this.answers = [await pending];
   },
@@ -138,7 +141,9 @@
     const requestRepeatedly = async (): Promise<void> => {
       while (!hasEnded) {
         // A connection that is refused or closed without an answer carried no request.
-        const answer = await this.site.ask(this.gateway, { ...LIST, agent }).catch(() => undefined);
+        const answer = await this.site
+          .request(this.gateway, { ...LIST, agent })
+          .catch(() => undefined);
         if (answer) this.answers.push(answer);
         else await nextTurn();
       }
--- a/features/gateway/streams.steps.ts
+++ b/features/gateway/streams.steps.ts
@@ -29,8 +29,8 @@
   async function (this: GatewayWorld, engines: string, groups: string) {
     await openEngineSite(this, Number(engines));
     this.gateway = await this.site.startGateway();
-    await this.site.whenReady(this.gateway);
-    await this.site.whenOpen(Number(groups));
+    await this.site.waitUntilReady(this.gateway);
+    await this.site.waitForOpenGroups(Number(groups));
   },
 );
 
@@ -94,17 +94,20 @@
 When('the cutting engines serve well again', async function (this: GatewayWorld) {
   await waitFor(
     'the request at its first engine',
-    () => this.site.ranAt(this.stream.id).length > 0,
+    () => this.site.listServersThatRan(this.stream.id).length > 0,
   );
-  const [first] = this.site.ranAt(this.stream.id);
+  const [first] = this.site.listServersThatRan(this.stream.id);
   for (const engine of this.site.servers) {
     if (engine.options.id !== first) engine.fault = { kind: 'none' };
   }
 });
 
 When('the engine of that stream goes silent', async function (this: GatewayWorld) {
-  await waitFor('the request at its engine', () => this.site.ranAt(this.stream.id).length > 0);
-  const [first] = this.site.ranAt(this.stream.id);
+  await waitFor(
+    'the request at its engine',
+    () => this.site.listServersThatRan(this.stream.id).length > 0,
+  );
+  const [first] = this.site.listServersThatRan(this.stream.id);
   const engine = this.site.servers.find(({ options }) => options.id === first);
   assert.ok(engine);
   engine.fault = { kind: 'stall' };
@@ -135,7 +138,7 @@
   async function (this: GatewayWorld, event: number) {
     const headers = { 'Last-Event-Id': String(event) };
     const ask = { method: 'POST', path: '/chat/talk', headers, body: '{}' };
-    this.answers = [await this.site.ask(this.gateway, ask)];
+    this.answers = [await this.site.request(this.gateway, ask)];
   },
 );
 
@@ -161,6 +164,6 @@
         line.outcome === 'callerGone',
     ),
   );
-  const answer = await this.site.ask(this.gateway, { path: '/metrics' }, this.gateway.metrics);
+  const answer = await this.site.request(this.gateway, { path: '/metrics' }, this.gateway.metrics);
   assert.match(answer.body, /^yuccasail_requests_in_flight 0$/m);
 });
--- a/features/gateway/waiting.steps.ts
+++ b/features/gateway/waiting.steps.ts
@@ -3,7 +3,7 @@
  */
 import assert from 'node:assert/strict';
 import { Given, Then, When, type DataTable } from '@cucumber/cucumber';
-import { firstEventAfter } from '../../src/controllers/forwarding/index.js';
+import { firstEventTimeout } from '../../src/controllers/forwarding/index.js';
 import { PeerTable, type Digest } from '../../src/controllers/peering/index.js';
 import {
   FirstEventTimes,
@@ -177,20 +177,20 @@
 
 Then('a replica is suspected after {int} ms', function (this: WaitingWorld, ms: number) {
   const expectedMs = this.firstEvents.expect(MODEL, 300);
-  assert.equal(Math.round(firstEventAfter(PROFILE, PLAIN_MODEL, 0, expectedMs)), ms);
+  assert.equal(Math.round(firstEventTimeout(PROFILE, PLAIN_MODEL, 0, expectedMs)), ms);
 });
 
 Given(
   'a gateway that has just started and knows of {int} others',
   function (this: WaitingWorld, others: number) {
     this.peers = new PeerTable(peerOf(0));
-    for (let index = 1; index <= others; index += 1) this.peers.learn(peerOf(index), 0);
+    for (let index = 1; index <= others; index += 1) this.peers.addPeer(peerOf(index), 0);
   },
 );
 
 When('it has heard {int} of them', function (this: WaitingWorld, heard: number) {
-  for (let index = 1; index <= heard; index += 1) this.peers.take(digestOf(index), 100);
-  this.peers.dropSilent(100);
+  for (let index = 1; index <= heard; index += 1) this.peers.applyDigest(digestOf(index), 100);
+  this.peers.removeTimedOut(100);
 });
 
 Then(
--- a/features/routing/retries.steps.ts
+++ b/features/routing/retries.steps.ts
@@ -11,7 +11,7 @@
   recordRequest,
   type AttemptEnd,
   type RetryDecision,
-  type RetryQuestion,
+  type RetryContext,
 } from '../../src/controllers/retries/index.js';
 import { concludeFailure } from '../../src/core/errors/index.js';
 import { createRandom } from '../../src/core/random/index.js';
@@ -49,7 +49,7 @@
 });
 
 interface AttemptStep {
-  question: RetryQuestion;
+  question: RetryContext;
   decision: RetryDecision;
   now: number;
 }
@@ -63,7 +63,7 @@
   let started = false;
   let received = 0;
   for (const [index, end] of ends.entries()) {
-    const question: RetryQuestion = {
+    const question: RetryContext = {
       end,
       target: `r${index}`,
       workspace: 'gates',
@@ -125,7 +125,7 @@
       const now = (index * seconds * 1_000) / requests;
       recordRequest(state, 'r0', 'gates', now);
       for (let attempts = 1; ; attempts += 1) {
-        const question: RetryQuestion = {
+        const question: RetryContext = {
           end: { kind: 'refused', reason: 'busy' },
           target: 'r0',
           workspace: 'gates',
@@ -153,7 +153,7 @@
 
 function decideAfterCut(resumable: boolean): RetryDecision[] {
   const state = createRetryState();
-  const question: RetryQuestion = {
+  const question: RetryContext = {
     end: { kind: 'cut', reason: 'reset', received: 17 },
     target: 'r0',
     workspace: 'gates',
@@ -162,7 +162,7 @@
     attempts: 1,
     deadlineAt: 10_000,
   };
-  const lost: RetryQuestion = {
+  const lost: RetryContext = {
     ...question,
     end: { kind: 'lost', reason: 'reset' },
     attempts: 2,
--- a/src/controllers/forwarding/choose.ts
+++ b/src/controllers/forwarding/choose.ts
@@ -15,7 +15,7 @@
   /** Whether the target is in another failure domain than this gateway. */
   isRemote: boolean;
   /** Fraction of recent responses that were failures of the target itself, 0 to 1. */
-  failing: number;
+  failureRate: number;
 }
 
 /**
@@ -50,7 +50,7 @@
 
 /** Estimated wait at a target plus its penalties, in milliseconds. */
 function estimateCost(state: TargetState): Milliseconds {
-  const { inFlight, slots, isRemote, failing } = state;
+  const { inFlight, slots, isRemote, failureRate: failing } = state;
   const queued = Math.max(0, inFlight + 1 - slots);
   return (
     (LOAD_PENALTY_MS * Math.min(inFlight, slots)) / slots +
--- a/src/controllers/forwarding/directory.ts
+++ b/src/controllers/forwarding/directory.ts
@@ -43,7 +43,7 @@
       if (known) return known;
       byService ??= groupBy(fleet.servers.values(), (server) => server.service);
       const all = findTargets(byService.get(service.name) ?? [], service, model);
-      const targets = splitByPlace(all, failureDomain);
+      const targets = splitByFailureDomain(all, failureDomain);
       cache.set(key, targets);
       return targets;
     },
@@ -51,7 +51,10 @@
 }
 
 /** Splits `targets` into those in `failureDomain` and all others. */
-export function splitByPlace(targets: readonly Target[], failureDomain: string): TargetList {
+export function splitByFailureDomain(
+  targets: readonly Target[],
+  failureDomain: string,
+): TargetList {
   const isNear = ({ server }: Target): boolean => server.failureDomain === failureDomain;
   return { near: targets.filter(isNear), far: targets.filter((target) => !isNear(target)) };
 }
--- a/src/controllers/forwarding/event-stream.ts
+++ b/src/controllers/forwarding/event-stream.ts
@@ -32,7 +32,7 @@
   }
 
   /** Whether part of an incomplete event is buffered. */
-  get isMidEvent(): boolean {
+  get hasPartialEvent(): boolean {
     return this.partialEvent.length > 0;
   }
 
--- a/src/controllers/forwarding/expected-time.ts
+++ b/src/controllers/forwarding/expected-time.ts
@@ -15,7 +15,7 @@
  * The target time is included because otherwise the queueing of short streams would count as
  * slowness of the replica, and long streams would be rejected for it.
  */
-export function estimateStream(
+export function estimateStreamMs(
   { targetMs }: Pick<Route, 'targetMs'>,
   profile: EngineProfile,
   model: GroupModel,
--- a/src/controllers/forwarding/fleet.ts
+++ b/src/controllers/forwarding/fleet.ts
@@ -56,12 +56,12 @@
         break;
     }
   }
-  const changed = listChanged(fleet, servers, changes.map(idOf));
+  const changed = listChanged(fleet, servers, changes.map(serverIdOf));
   return { revision, servers, vanished, changed };
 }
 
 /** Returns the id of the changed server. */
-export function idOf(change: FleetChange): string {
+export function serverIdOf(change: FleetChange): string {
   return change.kind === 'present' ? change.server.id : change.id;
 }
 
@@ -99,7 +99,7 @@
  * leaving and gets no new requests, but keeps its state until its own entry is readable again. An
  * entry without a start time counts as overwritten when the server reported one before.
  */
-export function readEntry(
+export function resolveEntry(
   known: BackendServer | undefined,
   read: BackendServer | undefined,
 ): BackendServer | undefined {
@@ -109,7 +109,7 @@
 }
 
 /** Converts a full list into changes: known servers that are not listed are absent. */
-export function listChanges(
+export function diffFleet(
   fleet: ServingFleet,
   listed: readonly BackendServer[],
 ): readonly FleetChange[] {
--- a/src/controllers/forwarding/incarnations.ts
+++ b/src/controllers/forwarding/incarnations.ts
@@ -17,7 +17,7 @@
 const FORGET_AFTER_MS: Milliseconds = 60_000;
 
 /** The current incarnation of each server id. Mutable; has a single owner. */
-export class LifeTable {
+export class IncarnationTable {
   private readonly incarnations = new Map<string, KnownIncarnation>();
   /** Servers without an entry, and the time since when. */
   private readonly absentSince = new Map<string, Milliseconds>();
--- a/src/controllers/forwarding/retry-budget.ts
+++ b/src/controllers/forwarding/retry-budget.ts
@@ -28,7 +28,7 @@
 }
 
 /** Request and retry counts of one service in a sliding window. Mutable; has a single owner. */
-export class RepeatBudget {
+export class RetryBudget {
   private slices: Slice[] = [];
 
   constructor(private readonly bounds: RetryBounds) {}
--- a/src/controllers/forwarding/stall.ts
+++ b/src/controllers/forwarding/stall.ts
@@ -21,7 +21,7 @@
 const PLAIN_STALL_MULTIPLE = 2;
 
 /** How long a stream of `model` may make no progress before its replica is suspected. */
-export function stallAfter(profile: EngineProfile, model: GroupModel): Milliseconds {
+export function streamStallTimeout(profile: EngineProfile, model: GroupModel): Milliseconds {
   const decodeStepMs = profile.stepMs + profile.stepPerRequestMs * profile.slots;
   const prefillMs = profile.promptChunk / profile.promptTokensPerMs;
   const pauseMs = profile.stride * (decodeStepMs + prefillMs) * model.pace;
@@ -41,7 +41,7 @@
  * Keeps loaded replicas from being mistaken for stalled ones: excluding them would overload the
  * remaining replicas until none is left.
  */
-export function firstEventAfter(
+export function firstEventTimeout(
   profile: EngineProfile,
   model: GroupModel,
   promptTokens: number,
@@ -52,7 +52,7 @@
 }
 
 /** How long a plain response may take before its backend server is suspected. */
-export function plainStallAfter(targetMs: Milliseconds): Milliseconds {
+export function plainStallTimeout(targetMs: Milliseconds): Milliseconds {
   return PLAIN_STALL_MULTIPLE * targetMs;
 }
 
--- a/src/controllers/forwarding/stopping.ts
+++ b/src/controllers/forwarding/stopping.ts
@@ -50,7 +50,7 @@
  * expected duration fits, and only while the load balancer still sends requests here: until then, a
  * rejected caller may be sent back here; later it always reaches another gateway.
  */
-export function latestBeginning(
+export function latestStart(
   { startedAt, lastAnswerAt }: StopPlan,
   { answerBy, expectedMs, isRepeatable }: RequestTime,
 ): Milliseconds {
--- a/src/controllers/forwarding/suspicion.ts
+++ b/src/controllers/forwarding/suspicion.ts
@@ -42,7 +42,12 @@
    * Records a suspicion reported by a peer, detected `ageMs` ago and in force for `leftMs` more;
    * returns true when the server was not suspected before.
    */
-  learn(server: string, ageMs: Milliseconds, leftMs: Milliseconds, now: Milliseconds): boolean {
+  recordFromPeer(
+    server: string,
+    ageMs: Milliseconds,
+    leftMs: Milliseconds,
+    now: Milliseconds,
+  ): boolean {
     const known = this.entries.get(server);
     const until = now + Math.min(leftMs, MAX_SUSPICION_MS);
     if (known && known.until >= until) return false;
@@ -76,7 +81,7 @@
   }
 
   /** Suspicions in force that were detected here. */
-  listOwn(now: Milliseconds): Suspicion[] {
+  listLocal(now: Milliseconds): Suspicion[] {
     return this.listAll(now).filter(({ isLocal }) => isLocal);
   }
 }
--- a/src/controllers/forwarding/target-sampling.ts
+++ b/src/controllers/forwarding/target-sampling.ts
@@ -17,7 +17,7 @@
 export type TargetEvaluator<State> = (target: Target) => State | undefined;
 
 /** Evaluates all targets and returns the states of the available ones. */
-export function reviewAll<State>(
+export function evaluateAll<State>(
   { near, far }: TargetList,
   evaluate: TargetEvaluator<State>,
 ): State[] {
@@ -25,14 +25,14 @@
 }
 
 /** Evaluates a random sample of targets; falls back to all targets when the sample is empty. */
-export function drawTargets<State>(
+export function sampleTargets<State>(
   targets: TargetList,
   evaluate: TargetEvaluator<State>,
   random: Random,
 ): State[] {
   const { near, far } = targets;
   const sampled = [...sampleGroup(near, evaluate, random), ...sampleGroup(far, evaluate, random)];
-  return sampled.length > 0 ? sampled : reviewAll(targets, evaluate);
+  return sampled.length > 0 ? sampled : evaluateAll(targets, evaluate);
 }
 
 function sampleGroup<State>(
--- a/src/controllers/groups/types.ts
+++ b/src/controllers/groups/types.ts
@@ -37,7 +37,7 @@
 }
 
 /** Key of one incarnation of an instance, for state that must not outlive it. */
-export function lifeKey({ id, startedAt }: Pick<GroupMember, 'id' | 'startedAt'>): string {
+export function incarnationKey({ id, startedAt }: Pick<GroupMember, 'id' | 'startedAt'>): string {
   return startedAt === undefined ? id : `${id} ${startedAt}`;
 }
 
--- a/src/controllers/peering/peer-table.ts
+++ b/src/controllers/peering/peer-table.ts
@@ -60,7 +60,7 @@
   private readonly nextExchangeAt = new Map<string, Milliseconds>();
   /** Time of the first unanswered call to each gateway that was never heard from. */
   private readonly unansweredSince = new Map<string, Milliseconds>();
-  /** Gateways that were alive at the last {@link dropSilent}. */
+  /** Gateways that were alive at the last {@link removeTimedOut}. */
   private alive: ReadonlyMap<string, GatewayPeer> = new Map();
 
   constructor(private readonly self: KnownPeer) {
@@ -68,16 +68,16 @@
   }
 
   /** Adds or updates a gateway. A seed is named by its address until it reports its own name. */
-  learn(peer: KnownPeer, now: Milliseconds): void {
+  addPeer(peer: KnownPeer, now: Milliseconds): void {
     this.roster.upsert(peer, now);
   }
 
   /** Applies a received digest. Returns the suspicions in it for the caller to evaluate. */
-  take(digest: Digest, now: Milliseconds): ReportedSuspicion[] {
+  applyDigest(digest: Digest, now: Milliseconds): ReportedSuspicion[] {
     if (digest.name === this.self.name) return [];
-    this.learn(digest, now);
+    this.addPeer(digest, now);
     digest.known?.forEach((peer) => {
-      this.learn(peer, now);
+      this.addPeer(peer, now);
     });
     this.roster.markHeard(digest.name, now);
     this.unansweredSince.delete(digest.name);
@@ -98,13 +98,13 @@
     this.summaries.set(summary.failureDomain, { summary, createdAt });
     const { failureDomain } = summary;
     for (const { name, address } of summary.members) {
-      this.learn({ name, address, failureDomain }, now);
+      this.addPeer({ name, address, failureDomain }, now);
     }
     return summary.suspicions;
   }
 
   /** Removes gateways that timed out. Returns those that were alive at the last call. */
-  dropSilent(now: Milliseconds): TimedOutPeer[] {
+  removeTimedOut(now: Milliseconds): TimedOutPeer[] {
     for (const [peer, { receivedAt }] of this.digests) {
       if (now - receivedAt <= PEER_TIMEOUT_MS) continue;
       this.digests.delete(peer);
--- a/src/controllers/retries/decide.ts
+++ b/src/controllers/retries/decide.ts
@@ -6,7 +6,7 @@
 import type { Random } from '../../core/random/index.js';
 import { budgetWaitMs, takeRetry, type RetryState } from './budget.js';
 import { concludeGivenUp } from './given-up.js';
-import type { AttemptEnd, RetryDecision, RetryQuestion } from './types.js';
+import type { AttemptEnd, RetryDecision, RetryContext } from './types.js';
 
 /** Maximum attempts per request, including the first. */
 const MAX_ATTEMPTS = 4;
@@ -29,7 +29,7 @@
  */
 export function decideRetry(
   state: RetryState,
-  context: RetryQuestion,
+  context: RetryContext,
   now: Milliseconds,
   random: Random,
 ): RetryDecision {
@@ -60,7 +60,7 @@
   }
 }
 
-function isRetryAllowed(context: RetryQuestion): boolean {
+function isRetryAllowed(context: RetryContext): boolean {
   if (receivedByCaller(context) > 0) return context.resumable;
   switch (context.end.kind) {
     case 'notSent':
@@ -74,26 +74,26 @@
   }
 }
 
-function retryOrResume(context: RetryQuestion, afterMs: Milliseconds): RetryDecision {
+function retryOrResume(context: RetryContext, afterMs: Milliseconds): RetryDecision {
   const from = receivedByCaller(context);
   if (from > 0) return { kind: 'resume', afterMs, exclude: context.target, from };
   return { kind: 'retry', afterMs, exclude: context.target };
 }
 
 /** Amount of the response that the caller has, from this and all earlier attempts. */
-function receivedByCaller(context: RetryQuestion): number {
+function receivedByCaller(context: RetryContext): number {
   const fromThisAttempt = context.end.kind === 'cut' ? context.end.received : 0;
   return Math.max(fromThisAttempt, context.received ?? 0);
 }
 
 /** Full jitter: uniform between zero and a limit that doubles with each attempt. */
-function computeBackoff(context: RetryQuestion, random: Random): Milliseconds {
+function computeBackoff(context: RetryContext, random: Random): Milliseconds {
   const doublings = Math.max(0, context.attempts - 1);
   const maxBackoffMs = Math.min(MAX_BACKOFF_MS, BASE_BACKOFF_MS * 2 ** doublings);
   return Math.floor(random.fraction() * maxBackoffMs);
 }
 
-function createAnswer(context: RetryQuestion, failure: Failure): RetryDecision {
+function createAnswer(context: RetryContext, failure: Failure): RetryDecision {
   if (receivedByCaller(context) > 0 && concludeFailure(failure) !== 'failed') {
     return { kind: 'answer', failure: createFailure('answerCut', { reason: context.end.reason }) };
   }
@@ -104,7 +104,7 @@
   return createFailure(mayHaveRun(end) ? 'deadlineAfterStart' : 'deadlineBeforeStart');
 }
 
-function createFinalFailure(state: RetryState, context: RetryQuestion, now: Milliseconds): Failure {
+function createFinalFailure(state: RetryState, context: RetryContext, now: Milliseconds): Failure {
   const { end } = context;
   const waitMs = budgetWaitMs(state, context.target, context.workspace, now);
   switch (end.kind) {
--- a/src/controllers/retries/types.ts
+++ b/src/controllers/retries/types.ts
@@ -18,7 +18,7 @@
   | { kind: 'failed'; reason: string };
 
 /** The request and its history, as input to the retry decision. */
-export interface RetryQuestion {
+export interface RetryContext {
   end: AttemptEnd;
   /** The backend server or replica that the attempt went to. */
   target: string;
--- a/src/entry/requests/gates.ts
+++ b/src/entry/requests/gates.ts
@@ -14,7 +14,7 @@
   decideRetry,
   recordRequest,
   type RetryDecision,
-  type RetryQuestion,
+  type RetryContext,
 } from '../../controllers/retries/index.js';
 import type { EntryContext } from '../types.js';
 
@@ -29,7 +29,7 @@
 export interface RetryGate {
   /** The first attempt of a request was sent; it earns part of a retry. */
   recordFirst(target: string, workspace: string): void;
-  decide(question: RetryQuestion): RetryDecision;
+  decide(question: RetryContext): RetryDecision;
 }
 
 /** A workspace that no share has been worked out for may use nothing. */
--- a/src/gateway/backends/pool.ts
+++ b/src/gateway/backends/pool.ts
@@ -20,7 +20,7 @@
    * Called when a server has restarted under its id. Closes idle connections to the previous
    * process, and the ones in use once they are released.
    */
-  endLife(id: string): void;
+  invalidateServer(id: string): void;
   /** Closes idle connections to servers that are no longer known. */
   prune(isKnown: (id: string) => boolean): void;
   close(): Promise<void>;
@@ -86,7 +86,7 @@
       idleConnections.push(connection);
       idle.set(server.id, idleConnections);
     },
-    endLife: (id) => {
+    invalidateServer: (id) => {
       generations.set(id, generationOf(id) + 1);
       closeIdle(id);
     },
--- a/src/gateway/create-gateway.ts
+++ b/src/gateway/create-gateway.ts
@@ -18,24 +18,24 @@
 import { createRandom } from '../core/random/index.js';
 import { createAttemptSender } from './backends/attempt.js';
 import { createConnectionPool } from './backends/pool.js';
-import { createEngineCalls } from './backends/short-call.js';
+import { createEngineCalls } from './backends/engine-calls.js';
 import { createGroupsPart } from './groups/groups-part.js';
 import { registerFreshnessGauges } from './operations/freshness-metrics.js';
 import { createOperationsListener } from './operations/listener.js';
 import { createGatewayMetrics } from './operations/metrics.js';
 import { createPeersPart } from './peers/peers-part.js';
-import { GATEWAY_KIND } from './peers/roster-entry.js';
-import { createBackends } from './requests/backends.js';
+import { GATEWAY_KIND } from './peers/registration.js';
+import { createBackendTracker } from './requests/backend-tracker.js';
 import { createQuarantine } from './requests/quarantine.js';
-import { createRequestPath } from './requests/request-path.js';
+import { createRequestServer } from './requests/request-server.js';
 import { createWatchdog } from './requests/watchdog.js';
 import type { GatewaySettings } from './settings.js';
 import { createObjectStore } from './store/client.js';
 import { createConfigurationPart } from './store/configuration-part.js';
-import { createReachabilityTracker } from './store/contact.js';
+import { createReachabilityTracker } from './store/reachability.js';
 import { logDroppedItems } from './store/dropped-items.js';
 import { createFleetPart } from './store/fleet-part.js';
-import { eraOf, revisionOf } from './store/place.js';
+import { eraOf, revisionOf } from './store/qualified-revision.js';
 import { createReachabilityProbe } from './store/reachability-probe.js';
 import type {
   GatewayBoardWriters,
@@ -77,7 +77,7 @@
   const context = createContext(settings, platform, board);
   const { logger, metrics, clock } = context;
   registerFreshnessGauges(context);
-  const reachability = createReachabilityTracker(context, board.storeContact);
+  const reachability = createReachabilityTracker(context, board.storeReachability);
   const store = createObjectStore({
     address: settings.store.address,
     dialect: logDroppedItems(platform.store, logger),
@@ -94,7 +94,7 @@
       logger.log('storeReturnedFromCopy', { era, before, revision });
       metrics.storeReturns.inc();
       reachability.recordRestore();
-      peers.announceAgain();
+      peers.refreshRegistration();
     },
   });
   const configuration = createConfigurationPart({
@@ -111,8 +111,8 @@
     proof: board.fleetProof,
   });
   reachability.onDisruption((at) => {
-    configuration.follower.doubtCallsBefore(at);
-    fleet.follower.doubtCallsBefore(at);
+    configuration.follower.abortCallsBefore(at);
+    fleet.follower.abortCallsBefore(at);
   });
   // A snapshot from a peer may show a restore before any call to the store does.
   board.fleet.subscribe(() => {
@@ -131,14 +131,14 @@
       metrics.probes.inc();
     },
   });
-  const backends = createBackends(context);
+  const backends = createBackendTracker(context);
   backends.onRestart((server) => {
-    pool.endLife(server);
+    pool.invalidateServer(server);
   });
   const watchdog = createWatchdog(context, backends);
   const sendAttempt = createAttemptSender(pool, platform.requests);
   const quarantine = createQuarantine(context, engineCalls);
-  const requestPath = createRequestPath({
+  const requestPath = createRequestServer({
     context,
     backends,
     watchdog,
@@ -233,7 +233,7 @@
     configurationProof: createSection<Proof | undefined>(undefined),
     fleet: createSection<ServingFleet>(EMPTY_FLEET),
     fleetProof: createSection<Proof | undefined>(undefined),
-    storeContact: createSection<StoreReachability>({ reachable: false, since: 0 }),
+    storeReachability: createSection<StoreReachability>({ reachable: false, since: 0 }),
     peers: createSection<ReadonlyMap<string, GatewayPeer>>(new Map()),
     peerLoad: createSection<PeerLoad>({ byServer: new Map(), unheard: 0, isLate: false }),
     stop: createSection<StopPlan | undefined>(undefined),
--- a/src/gateway/groups/domain-controller.ts
+++ b/src/gateway/groups/domain-controller.ts
@@ -4,7 +4,7 @@
 import {
   EMPTY_PLAN,
   groupPlanSchema,
-  lifeKey,
+  incarnationKey,
   listOrders,
   revisePlan,
   type DomainView,
@@ -14,10 +14,10 @@
 } from '../../controllers/groups/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { BackendServer, EngineProfile, OrderOutcome } from '../../ports/index.js';
-import type { EngineCalls } from '../backends/short-call.js';
-import type { Backends } from '../requests/backends.js';
+import type { EngineCalls } from '../backends/engine-calls.js';
+import type { BackendTracker } from '../requests/backend-tracker.js';
 import type { ObjectStore } from '../store/client.js';
-import { eraOf, revisionOf } from '../store/place.js';
+import { eraOf, revisionOf } from '../store/qualified-revision.js';
 import type { GatewayContext } from '../types.js';
 import { createMemberMonitor } from './member-monitor.js';
 
@@ -44,7 +44,7 @@
   context: GatewayContext;
   store: ObjectStore;
   calls: EngineCalls;
-  backends: Backends;
+  backends: BackendTracker;
 }
 
 /** Kind of the store objects that hold plans, one per service and domain. */
@@ -128,15 +128,16 @@
   const listStagingInstances = ({ servers }: DomainState): ReadonlySet<string> => {
     const now = clock.now();
     for (const server of servers) {
-      const entry = pendingStaging.get(lifeKey(server));
+      const entry = pendingStaging.get(incarnationKey(server));
       if (entry === undefined) continue;
       const isDone = server.engine?.staged.includes(entry.model) ?? false;
-      if (isDone || now - entry.startedAt > STAGE_RETRY_MS) pendingStaging.delete(lifeKey(server));
+      if (isDone || now - entry.startedAt > STAGE_RETRY_MS)
+        pendingStaging.delete(incarnationKey(server));
     }
-    const currentKeys = new Set(servers.map(lifeKey));
+    const currentKeys = new Set(servers.map(incarnationKey));
     for (const key of pendingStaging.keys()) if (!currentKeys.has(key)) pendingStaging.delete(key);
     return new Set(
-      servers.filter((server) => pendingStaging.has(lifeKey(server))).map(({ id }) => id),
+      servers.filter((server) => pendingStaging.has(incarnationKey(server))).map(({ id }) => id),
     );
   };
   const createView = (state: DomainState): DomainView => ({
@@ -183,7 +184,7 @@
       case 'accepted':
       case 'unknown':
         if (order.kind === 'stage')
-          pendingStaging.set(lifeKey(to), { model: order.model, startedAt: clock.now() });
+          pendingStaging.set(incarnationKey(to), { model: order.model, startedAt: clock.now() });
         break;
       case 'refused':
         if (order.kind === 'join' && outcome.status === STALE_EPOCH_STATUS)
@@ -199,7 +200,7 @@
   };
   const isDue = (due: DueOrder, now: Milliseconds): boolean => {
     const { order, to } = due;
-    const key = `${lifeKey(to)} ${order.kind} ${'group' in order ? order.group : order.model}`;
+    const key = `${incarnationKey(to)} ${order.kind} ${'group' in order ? order.group : order.model}`;
     const sentAt = lastSentAt.get(key);
     const retryMs = order.kind === 'stage' ? STAGE_RETRY_MS : ORDER_RETRY_MS;
     if (sentAt !== undefined && now - sentAt < retryMs) return false;
@@ -215,7 +216,7 @@
     if (stored === undefined) return;
     const groupNames = new Set(stored.plan.groups.map(({ name }) => name));
     // A plan may name a member without its start time; such a member is matched by id alone.
-    const incarnationKeys = state.servers.flatMap((server) => [server.id, lifeKey(server)]);
+    const incarnationKeys = state.servers.flatMap((server) => [server.id, incarnationKey(server)]);
     memberMonitor.retain(new Set(incarnationKeys), groupNames);
     checkSuspectGroups(stored.plan);
     const view = createView(state);
--- a/src/gateway/groups/groups-part.ts
+++ b/src/gateway/groups/groups-part.ts
@@ -14,10 +14,10 @@
 import type { Milliseconds } from '../../core/clock/index.js';
 import { groupBy, keepLatest } from '../../core/collections/index.js';
 import type { EngineProfile } from '../../ports/index.js';
-import type { EngineCalls } from '../backends/short-call.js';
-import type { Backends } from '../requests/backends.js';
+import type { EngineCalls } from '../backends/engine-calls.js';
+import type { BackendTracker } from '../requests/backend-tracker.js';
 import type { ObjectStore } from '../store/client.js';
-import type { ContactKeeper } from '../store/contact.js';
+import type { ReachabilityTracker } from '../store/reachability.js';
 import type { GatewayContext, GatewayPart } from '../types.js';
 import {
   createDomainController,
@@ -29,8 +29,8 @@
   context: GatewayContext;
   store: ObjectStore;
   calls: EngineCalls;
-  backends: Backends;
-  contact: Pick<ContactKeeper, 'isSettling'>;
+  backends: BackendTracker;
+  contact: Pick<ReachabilityTracker, 'isSettling'>;
 }
 
 const RECONCILE_INTERVAL_MS: Milliseconds = 100;
@@ -72,7 +72,7 @@
     return created;
   };
   const getOwnerFinder = (): OwnerFinder => {
-    const storeReachableForMs = clock.now() - board.storeContact.read().since;
+    const storeReachableForMs = clock.now() - board.storeReachability.read().since;
     return memoizedOwnerFinder(board.peers.read(), hasReceivedPeerState(storeReachableForMs));
   };
   const listDomains = (): readonly ServiceDomain[] => {
@@ -86,7 +86,7 @@
   };
   const reconcile = (): void => {
     // Without the store, other gateways may take over the domains and change the plans.
-    if (!board.storeContact.read().reachable) {
+    if (!board.storeReachability.read().reachable) {
       releaseAll();
       return;
     }
--- a/src/gateway/groups/member-monitor.ts
+++ b/src/gateway/groups/member-monitor.ts
@@ -1,9 +1,13 @@
 /**
  * Detects lost, slow and stuck members of replicas by probing them.
  */
-import { lifeKey, type GroupMember, type PlannedGroup } from '../../controllers/groups/index.js';
+import {
+  incarnationKey,
+  type GroupMember,
+  type PlannedGroup,
+} from '../../controllers/groups/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
-import type { EngineCalls } from '../backends/short-call.js';
+import type { EngineCalls } from '../backends/engine-calls.js';
 import type { GatewayContext } from '../types.js';
 
 /** Results of the probes, as input for the planner. */
@@ -68,8 +72,12 @@
       const outcome = await calls.probe(member);
       switch (outcome.kind) {
         case 'answers':
-          if (outcome.pace < SLOW_PACE_RATIO) slow.delete(lifeKey(member));
-          else slow.set(lifeKey(member), { id: member.id, expiresAt: clock.now() + SLOW_TTL_MS });
+          if (outcome.pace < SLOW_PACE_RATIO) slow.delete(incarnationKey(member));
+          else
+            slow.set(incarnationKey(member), {
+              id: member.id,
+              expiresAt: clock.now() + SLOW_TTL_MS,
+            });
           return false;
         case 'gone':
           return true;
@@ -88,7 +96,7 @@
     const { startedAt } = check;
     const isMemberLost = await Promise.all(group.members.map(isLost));
     const lostMembers = group.members.filter((_, index) => isMemberLost[index]);
-    for (const member of lostMembers) lost.set(lifeKey(member), member);
+    for (const member of lostMembers) lost.set(incarnationKey(member), member);
     const slowIds = listSlow();
     const isSlow = group.members.some(({ id }) => slowIds.has(id));
     const passedInRow = lostMembers.length > 0 || isSlow ? 0 : check.passedInRow + 1;
@@ -120,8 +128,8 @@
       void checkMembers(group, check);
     },
     markLost: (member, evidence) => {
-      if (lost.has(lifeKey(member))) return;
-      lost.set(lifeKey(member), member);
+      if (lost.has(incarnationKey(member))) return;
+      lost.set(incarnationKey(member), member);
       logger.log('serverLost', { server: member.id, address: member.address, evidence });
     },
     recheckLost: (now) => {
@@ -130,7 +138,7 @@
       for (const member of lost.values()) {
         void calls.probe(member).then((outcome) => {
           if (outcome.kind !== 'answers') return;
-          lost.delete(lifeKey(member));
+          lost.delete(incarnationKey(member));
           logger.log('serverAnswersAgain', { server: member.id });
         });
       }
--- a/src/gateway/peers/catch-up.ts
+++ b/src/gateway/peers/catch-up.ts
@@ -4,7 +4,7 @@
 import { boundProofs } from '../../controllers/freshness/index.js';
 import { LagTracker, type Digest, type Versions } from '../../controllers/peering/index.js';
 import type { GatewayContext } from '../types.js';
-import type { PeerClient } from './link.js';
+import type { PeerClient } from './rpc.js';
 import type { CatchUpResponse } from './messages.js';
 
 /** Gives the catch-up check access to local and peer state. */
--- a/src/gateway/peers/follow-control.ts
+++ b/src/gateway/peers/follow-control.ts
@@ -12,10 +12,10 @@
 import type { PeerTable } from '../../controllers/peering/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { ConfigurationPart } from '../store/configuration-part.js';
-import type { FleetNews, FleetPart } from '../store/fleet-part.js';
+import type { FleetUpdate, FleetPart } from '../store/fleet-part.js';
 import type { FollowMode } from '../store/follower-switch.js';
 import type { GatewayContext } from '../types.js';
-import type { PeerClient } from './link.js';
+import type { PeerClient } from './rpc.js';
 
 /** Turns following of the store on and off. */
 export interface FollowControl {
@@ -60,7 +60,7 @@
   const findFallbackReason = (now: Milliseconds): string | undefined => {
     const hubStatus = table.hubStatus(now);
     if (hubStatus !== 'trusted') return `the hub is ${hubStatus}`;
-    if (!board.storeContact.read().reachable) return 'a store call failed';
+    if (!board.storeReachability.read().reachable) return 'a store call failed';
     return isAnyProofStale(now)
       ? 'the hub provided no recent proof that the state is current'
       : undefined;
@@ -75,8 +75,8 @@
   const setMode = (next: FollowMode, reason: string): void => {
     const before = mode;
     mode = next;
-    configuration.follower.turn(next);
-    fleet.follower.turn(next);
+    configuration.follower.setMode(next);
+    fleet.follower.setMode(next);
     if ((before === 'off') !== (next === 'off')) {
       logger.log(next === 'off' ? 'followingEnded' : 'followingBegan', { reason });
     }
@@ -90,12 +90,12 @@
       });
     }
   };
-  fleet.onNews((update: FleetNews) => {
-    relayToDomain((address) => client.news(address, update));
+  fleet.onUpdate((update: FleetUpdate) => {
+    relayToDomain((address) => client.sendFleetUpdate(address, update));
   });
-  configuration.onNews(() => {
+  configuration.onUpdate(() => {
     const version = board.serving.read()?.configuration.version ?? 0;
-    relayToDomain((address) => client.notice(address, version));
+    relayToDomain((address) => client.notifyConfigurationVersion(address, version));
   });
   return {
     update: (now) => {
@@ -111,8 +111,8 @@
     forceFollow: () => {
       const now = clock.now();
       followUntil = now + MIN_FOLLOW_MS;
-      configuration.follower.doubtCallsBefore(now);
-      fleet.follower.doubtCallsBefore(now);
+      configuration.follower.abortCallsBefore(now);
+      fleet.follower.abortCallsBefore(now);
     },
   };
 }
--- a/src/gateway/peers/messages.ts
+++ b/src/gateway/peers/messages.ts
@@ -4,7 +4,7 @@
  */
 import * as z from 'zod';
 import type { BackendServer, ServingConfiguration } from '../../ports/index.js';
-import type { FleetCopy, FleetNews } from '../store/fleet-part.js';
+import type { FleetSnapshot, FleetUpdate } from '../store/fleet-part.js';
 
 const nonNegativeSchema = z.number().nonnegative();
 const backendServerSchema: z.ZodType<BackendServer> = z.object({
@@ -33,7 +33,7 @@
     .exactOptional(),
 });
 
-export const fleetNewsSchema: z.ZodType<FleetNews> = z.object({
+export const fleetUpdateSchema: z.ZodType<FleetUpdate> = z.object({
   since: nonNegativeSchema,
   revision: nonNegativeSchema,
   absentInMs: nonNegativeSchema,
@@ -56,5 +56,5 @@
 /** Response to a catch-up call. Holds only the state that is newer than the caller's. */
 export interface CatchUpResponse {
   configuration?: ServingConfiguration;
-  fleet?: FleetCopy;
+  fleet?: FleetSnapshot;
 }
--- a/src/gateway/peers/peers-part.ts
+++ b/src/gateway/peers/peers-part.ts
@@ -14,7 +14,7 @@
 } from '../../controllers/peering/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Failure } from '../../core/errors/index.js';
-import type { Backends } from '../requests/backends.js';
+import type { BackendTracker } from '../requests/backend-tracker.js';
 import type { Quarantine } from '../requests/quarantine.js';
 import type { ConfigurationPart } from '../store/configuration-part.js';
 import type { ObjectStore } from '../store/client.js';
@@ -22,9 +22,9 @@
 import type { GatewayContext, GatewayPart, PeerLoad } from '../types.js';
 import { createCatchUpCheck } from './catch-up.js';
 import { createFollowControl } from './follow-control.js';
-import { createPeerCalls, createPeerListener } from './link.js';
+import { createPeerClient, createPeerListener } from './rpc.js';
 import type { CatchUpResponse } from './messages.js';
-import { createGatewayRegistration } from './roster-entry.js';
+import { createGatewayRegistration } from './registration.js';
 
 /** Membership and state exchange between gateways. */
 export interface PeersPart extends GatewayPart {
@@ -32,13 +32,13 @@
   /** Immediately notifies all exchange partners that this gateway is stopping. */
   announceStop(): Promise<void>;
   /** Rewrites this gateway's entry in the store, which may have been lost. */
-  announceAgain(): void;
+  refreshRegistration(): void;
 }
 
 interface PeersPartOptions {
   context: GatewayContext;
   store: ObjectStore;
-  backends: Backends;
+  backends: BackendTracker;
   quarantine: Quarantine;
   configuration: ConfigurationPart;
   fleet: FleetPart;
@@ -55,7 +55,7 @@
 export function createPeersPart(options: PeersPartOptions): PeersPart {
   const { context, section, backends, quarantine, configuration, fleet, store } = options;
   const { settings, clock, logger, board, incarnation } = context;
-  const client = createPeerCalls();
+  const client = createPeerClient();
   const self: KnownPeer = {
     name: settings.name,
     address: settings.listen.peers,
@@ -80,17 +80,17 @@
       ...self,
       ...ownVersions(),
       incarnation,
-      storeReachable: board.storeContact.read().reachable,
+      storeReachable: board.storeReachability.read().reachable,
       stopping: isStopping,
       hasServed: backends.hasServed(),
       ...createProofAges(now),
       load: [...backends.inFlight()],
-      suspicions: backends.suspicions.listOwn(now).map(({ server, since, until }) => ({
+      suspicions: backends.suspicions.listLocal(now).map(({ server, since, until }) => ({
         server,
         ageMs: Math.round(now - since),
         leftMs: Math.round(until - now),
       })),
-      ...quarantine.writeNews(),
+      ...quarantine.buildDigest(),
     };
   };
   /** Ages of the proofs that local state is current. Ages are sent because clocks differ. */
@@ -111,9 +111,9 @@
   const acceptProofs = (response: Digest, sentAt: Milliseconds): void => {
     const { configurationAgeMs, configurationVersion, fleetAgeMs, fleetRevision } = response;
     if (configurationAgeMs !== undefined) {
-      configuration.takeProof(configurationVersion, sentAt - configurationAgeMs);
+      configuration.recordProof(configurationVersion, sentAt - configurationAgeMs);
     }
-    if (fleetAgeMs !== undefined) fleet.takeProof(fleetRevision, sentAt - fleetAgeMs);
+    if (fleetAgeMs !== undefined) fleet.recordProof(fleetRevision, sentAt - fleetAgeMs);
   };
   /** The own digest plus, on a hub, summaries of the failure domains. */
   const createExchangeDigest = (caller?: Digest): Digest => {
@@ -145,8 +145,8 @@
   };
   const applyDigest = (digest: Digest): void => {
     if (digest.name === self.name) return;
-    for (const { server, ageMs, leftMs } of table.take(digest, clock.now())) {
-      if (backends.learnSuspicion(server, ageMs, leftMs)) {
+    for (const { server, ageMs, leftMs } of table.applyDigest(digest, clock.now())) {
+      if (backends.adoptPeerSuspicion(server, ageMs, leftMs)) {
         logger.log('suspicionLearned', { server, peer: digest.name, ageMs });
       }
     }
@@ -154,8 +154,8 @@
       incarnations.set(digest.name, digest.incarnation);
       logger.log('peerHeard', { peer: digest.name, address: digest.address });
     }
-    quarantine.takeNews(digest);
-    configuration.hearOf(digest.configurationVersion);
+    quarantine.mergeDigest(digest);
+    configuration.noteVersion(digest.configurationVersion);
     publishThrottled();
   };
   const exchange = async (peer: KnownPeer): Promise<void> => {
@@ -187,8 +187,8 @@
     listDigests: () => table.listCatchUpSources().map(({ digest }) => digest),
     ownVersions,
     apply: ({ configuration: configurationCopy, fleet: fleetCopy }: CatchUpResponse) => {
-      if (configurationCopy) configuration.take(configurationCopy, 'peer');
-      if (fleetCopy) fleet.takeCopy(fleetCopy);
+      if (configurationCopy) configuration.apply(configurationCopy, 'peer');
+      if (fleetCopy) fleet.applySnapshot(fleetCopy);
       if (configurationCopy ?? fleetCopy) followControl.forceFollow();
     },
   });
@@ -198,7 +198,7 @@
     self,
     quarantine,
     onPeer: (peer) => {
-      table.learn(peer, clock.now());
+      table.addPeer(peer, clock.now());
     },
   });
   const listener = createPeerListener(settings.listen.peers, {
@@ -211,19 +211,19 @@
       const isNewer = index && index.configuration.version > versions.configurationVersion;
       return {
         ...(isNewer && { configuration: index.configuration }),
-        ...(board.fleet.read().revision > versions.fleetRevision && { fleet: fleet.copy() }),
+        ...(board.fleet.read().revision > versions.fleetRevision && { fleet: fleet.snapshot() }),
       };
     },
-    takeNews: (update) => {
-      fleet.takeNews(update);
+    applyFleetUpdate: (update) => {
+      fleet.applyUpdate(update);
     },
-    hearOf: (version) => {
-      configuration.hearOf(version);
+    noteConfigurationVersion: (version) => {
+      configuration.noteVersion(version);
     },
   });
   const tick = (): void => {
     const now = clock.now();
-    const timedOut = table.dropSilent(now);
+    const timedOut = table.removeTimedOut(now);
     for (const { peer, silentMs } of timedOut) {
       incarnations.delete(peer);
       logger.log('peerSilent', { peer, silentMs: Math.round(silentMs) });
@@ -238,7 +238,7 @@
     listen: () => listener.listen(),
     start: () => {
       for (const address of settings.seeds) {
-        table.learn({ name: address, address, failureDomain: '' }, clock.now());
+        table.addPeer({ name: address, address, failureDomain: '' }, clock.now());
       }
       void registration.register();
       followControl.update(clock.now());
@@ -252,7 +252,7 @@
         for (const peer of table.listPartners()) void exchange(peer);
       });
     },
-    announceAgain: () => {
+    refreshRegistration: () => {
       const delayMs = context.random.fraction() * REGISTRATION_JITTER_MS;
       setTimeout(() => {
         registration.refresh();
--- a/src/gateway/peers/link.ts
+++ b/src/gateway/peers/rpc.ts
@@ -8,10 +8,10 @@
 import { digestSchema, type Digest, type Versions } from '../../controllers/peering/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import { callWithin } from '../../core/timeout/index.js';
-import type { FleetNews } from '../store/fleet-part.js';
+import type { FleetUpdate } from '../store/fleet-part.js';
 import {
   configurationNoticeSchema,
-  fleetNewsSchema,
+  fleetUpdateSchema,
   versionsSchema,
   type CatchUpResponse,
 } from './messages.js';
@@ -21,9 +21,9 @@
   exchange(digest: Digest): Digest;
   /** Returns the state that is newer than the caller's `versions`. */
   catchUp(versions: Versions): CatchUpResponse;
-  takeNews(update: FleetNews): void;
+  applyFleetUpdate(update: FleetUpdate): void;
   /** Called when another gateway has applied this version of the configuration. */
-  hearOf(version: number): void;
+  noteConfigurationVersion(version: number): void;
 }
 
 const MAX_MESSAGE_BYTES = 1_048_576;
@@ -35,11 +35,11 @@
   return router({
     exchange: procedure.input(digestSchema).mutation(({ input }) => handlers.exchange(input)),
     catchUp: procedure.input(versionsSchema).query(({ input }) => handlers.catchUp(input)),
-    news: procedure.input(fleetNewsSchema).mutation(({ input }) => {
-      handlers.takeNews(input);
+    news: procedure.input(fleetUpdateSchema).mutation(({ input }) => {
+      handlers.applyFleetUpdate(input);
     }),
     notice: procedure.input(configurationNoticeSchema).mutation(({ input }) => {
-      handlers.hearOf(input.configurationVersion);
+      handlers.noteConfigurationVersion(input.configurationVersion);
     }),
   });
 }
@@ -59,12 +59,12 @@
 export interface PeerClient {
   exchange(address: string, digest: Digest): Promise<Digest>;
   catchUp(address: string, versions: Versions): Promise<CatchUpResponse>;
-  news(address: string, update: FleetNews): Promise<void>;
-  notice(address: string, configurationVersion: number): Promise<void>;
+  sendFleetUpdate(address: string, update: FleetUpdate): Promise<void>;
+  notifyConfigurationVersion(address: string, configurationVersion: number): Promise<void>;
   close(): Promise<void>;
 }
 
-export function createPeerCalls(): PeerClient {
+export function createPeerClient(): PeerClient {
   const agent = new Agent({ connections: 2, pipelining: 1, connect: { timeout: CALL_TIMEOUT_MS } });
   const clients = new Map<string, TRPCClient<PeerRouter>>();
   const rpcClientFor = (address: string): TRPCClient<PeerRouter> => {
@@ -85,11 +85,11 @@
       callWithin(CALL_TIMEOUT_MS, (signal) =>
         rpcClientFor(address).catchUp.query(versions, { signal }),
       ),
-    news: (address, update) =>
+    sendFleetUpdate: (address, update) =>
       callWithin(CALL_TIMEOUT_MS, (signal) =>
         rpcClientFor(address).news.mutate(update, { signal }),
       ),
-    notice: (address, configurationVersion) =>
+    notifyConfigurationVersion: (address, configurationVersion) =>
       callWithin(CALL_TIMEOUT_MS, (signal) =>
         rpcClientFor(address).notice.mutate({ configurationVersion }, { signal }),
       ),
--- a/src/gateway/requests/backends.ts
+++ b/src/gateway/requests/backend-tracker.ts
@@ -4,12 +4,12 @@
 import {
   chooseTarget,
   createTargetDirectory,
-  drawTargets,
+  sampleTargets,
   FailureRates,
-  LifeTable,
+  IncarnationTable,
   ProgressTracker,
-  RepeatBudget,
-  reviewAll,
+  RetryBudget,
+  evaluateAll,
   SuspicionTable,
   type ServingFleet,
   type Target,
@@ -28,7 +28,7 @@
 }
 
 /** This gateway's view of all backend servers. */
-export interface Backends {
+export interface BackendTracker {
   /**
    * Returns the best target that is neither excluded nor suspected. With `requiresCapacity` it must
    * be able to start the request almost immediately.
@@ -42,21 +42,21 @@
   /** The number of all targets, including suspected ones. */
   countTargets(service: ServingService, model: string | undefined): number;
   /** Counts an attempt as in flight. */
-  sent(server: string): void;
+  recordSent(server: string): void;
   /** Ends an attempt; one to a previous process of the server first, if any is still in flight. */
-  ended(server: string): void;
+  recordEnded(server: string): void;
   inFlight(): ReadonlyMap<string, number>;
   /** Whether an attempt sent at `sentAt` went to a previous process of the server. */
   isPreviousProcess(server: string, sentAt: Milliseconds): boolean;
   /** Records that data arrived from the server, and clears a suspicion of it. */
-  progressed(server: string): void;
-  lastProgress(server: string): Milliseconds;
+  recordProgress(server: string): void;
+  lastProgressAt(server: string): Milliseconds;
   /** Marks the server as suspected of being stalled; `evidence` is logged. */
   suspect(server: string, evidence: string): void;
   /** Adopts a peer's suspicion; returns false if it is known or outdated. */
-  learnSuspicion(server: string, ageMs: Milliseconds, leftMs: Milliseconds): boolean;
+  adoptPeerSuspicion(server: string, ageMs: Milliseconds, leftMs: Milliseconds): boolean;
   /** Records the result of an attempt for the failure rate. */
-  answered(server: string, failed: boolean): void;
+  recordResult(server: string, failed: boolean): void;
   /** Counts a request towards the retry budget of its service. */
   recordRequest(service: string): void;
   /** Whether a request was accepted for forwarding since the start. */
@@ -71,7 +71,7 @@
   onSuspicion(listener: (server: string) => void): void;
 }
 
-export function createBackends(context: GatewayContext): Backends {
+export function createBackendTracker(context: GatewayContext): BackendTracker {
   const { board, clock, random, logger, metrics, settings } = context;
   const inFlightCounts = new Map<string, number>();
   /**
@@ -81,11 +81,11 @@
   const previousInFlight = new Map<string, number>();
   /** Servers whose last such attempt has just ended and whose result may still be reported. */
   const justEnded = new Set<string>();
-  const processes = new LifeTable();
+  const processes = new IncarnationTable();
   const progress = new ProgressTracker();
   const suspicions = new SuspicionTable();
   const failures = new FailureRates();
-  const retryBudgets = new Map<string, RepeatBudget>();
+  const retryBudgets = new Map<string, RetryBudget>();
   let hasForwarded = false;
   const suspicionListeners: ((server: string) => void)[] = [];
   const restartListeners: ((server: string) => void)[] = [];
@@ -157,14 +157,14 @@
     inFlight: estimateInFlight(target.server.id),
     slots: service.engine?.slots ?? target.server.slots,
     isRemote: target.server.failureDomain !== settings.failureDomain,
-    failing: failures.rateOf(target.server.id),
+    failureRate: failures.rateOf(target.server.id),
   });
   const isUsable = (target: Target, now: Milliseconds): boolean =>
     target.members.every((member) => !suspicions.isSuspect(member, now));
-  const retryBudgetOf = (service: string): RepeatBudget => {
+  const retryBudgetOf = (service: string): RetryBudget => {
     const existing = retryBudgets.get(service);
     if (existing) return existing;
-    const created = new RepeatBudget(settings.retries);
+    const created = new RetryBudget(settings.retries);
     retryBudgets.set(service, created);
     return created;
   };
@@ -179,8 +179,8 @@
         return requiresCapacity && !hasRoom(state) ? undefined : state;
       };
       const states = board.peerLoad.read().isLate
-        ? drawTargets(targets, evaluate, random)
-        : reviewAll(targets, evaluate);
+        ? sampleTargets(targets, evaluate, random)
+        : evaluateAll(targets, evaluate);
       const chosen = chooseTarget(states, random);
       return chosen && { ...chosen, candidates: states.length };
     },
@@ -188,22 +188,22 @@
       const { near, far } = directory.find(service, model);
       return near.length + far.length;
     },
-    sent: (server) => {
+    recordSent: (server) => {
       inFlightCounts.set(server, (inFlightCounts.get(server) ?? 0) + 1);
     },
-    ended: (server) => {
+    recordEnded: (server) => {
       if (previousInFlight.has(server)) endPreviousAttempt(server);
       else decrement(inFlightCounts, server);
     },
     inFlight: () => inFlightCounts,
     isPreviousProcess: (server, sentAt) => sentAt < processes.since(server),
-    progressed: (server) => {
+    recordProgress: (server) => {
       if (isAmbiguous(server)) return;
       const now = clock.now();
       progress.record(server, now);
       if (suspicions.clear(server, now)) logger.log('suspicionCleared', { server });
     },
-    lastProgress: (server) => progress.lastProgress(server),
+    lastProgressAt: (server) => progress.lastProgress(server),
     suspect: (server, evidence) => {
       if (isAmbiguous(server)) return;
       if (!suspicions.suspect(server, clock.now())) return;
@@ -211,14 +211,14 @@
       logger.log('serverSuspected', { server, evidence });
       for (const listener of suspicionListeners) listener(server);
     },
-    learnSuspicion: (server, ageMs, leftMs) => {
+    adoptPeerSuspicion: (server, ageMs, leftMs) => {
       const now = clock.now();
       const suspectedAt = now - ageMs;
       if (progress.lastProgress(server) > suspectedAt || suspectedAt < processes.since(server))
         return false;
-      return suspicions.learn(server, ageMs, leftMs, now);
+      return suspicions.recordFromPeer(server, ageMs, leftMs, now);
     },
-    answered: (server, failed) => {
+    recordResult: (server, failed) => {
       if (!isAmbiguous(server)) failures.record(server, failed);
     },
     hasServed: () => hasForwarded,
--- a/src/gateway/requests/quarantine.ts
+++ b/src/gateway/requests/quarantine.ts
@@ -4,7 +4,7 @@
  * A broken connection alone is no evidence. The server is probed, and the requests that broke off
  * there count as suspects only if its process has ended.
  */
-import { lifeKey } from '../../controllers/groups/index.js';
+import { incarnationKey } from '../../controllers/groups/index.js';
 import { collectReports, type Digest } from '../../controllers/peering/index.js';
 import {
   QuarantineTable,
@@ -13,7 +13,7 @@
 } from '../../controllers/quarantine/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { BackendServer } from '../../ports/index.js';
-import type { EngineCalls } from '../backends/short-call.js';
+import type { EngineCalls } from '../backends/engine-calls.js';
 import type { GatewayContext } from '../types.js';
 
 /** The part of a peer digest about requests that crash servers. */
@@ -28,9 +28,9 @@
   /** Records that a server responded to the request completely. */
   recordAnswered(fingerprint: string): void;
   /** Reports and quarantined requests to send to other gateways. */
-  writeNews(): QuarantineDigest;
+  buildDigest(): QuarantineDigest;
   /** Merges the digest of another gateway. */
-  takeNews(digest: Digest): void;
+  mergeDigest(digest: Digest): void;
   list(): ToldQuarantine[];
   /** Restores the requests that were in quarantine before a restart. */
   restore(quarantined: readonly ToldQuarantine[]): void;
@@ -113,7 +113,7 @@
     recordBroken: (fingerprint, server) => {
       const now = clock.now();
       pruneExitChecks(now);
-      const processKey = lifeKey(server);
+      const processKey = incarnationKey(server);
       const check = exitChecks.get(processKey) ?? startExitCheck(server, processKey, now);
       switch (check.result) {
         case 'checking':
@@ -129,7 +129,7 @@
     recordAnswered: (fingerprint) => {
       table.record({ kind: 'answered', fingerprint, ageMs: 0 }, clock.now());
     },
-    writeNews: () => {
+    buildDigest: () => {
       const now = clock.now();
       const reports = table.listOwnReports(now);
       const quarantined = table.listQuarantined(now);
@@ -138,7 +138,7 @@
         ...(quarantined.length > 0 && { quarantined }),
       };
     },
-    takeNews: (digest) => {
+    mergeDigest: (digest) => {
       for (const report of collectReports(digest)) mergeReport(report, digest.name);
       mergeQuarantined(digest.quarantined ?? [], digest.name);
     },
--- a/src/gateway/requests/request-forwarder.ts
+++ b/src/gateway/requests/request-forwarder.ts
@@ -11,7 +11,7 @@
 import type { AttemptResponse, AttemptFailure, AttemptSender } from '../backends/attempt.js';
 import type { GatewayContext } from '../types.js';
 import { isValidSuccess, relayEvents, sendBuffered } from './response-relay.js';
-import type { Backends, ChosenTarget } from './backends.js';
+import type { BackendTracker, ChosenTarget } from './backend-tracker.js';
 import type { Reply } from './reply.js';
 import type { Quarantine } from './quarantine.js';
 import { RequestWait } from './request-wait.js';
@@ -26,7 +26,7 @@
 /** What a forwarder shares with all others of its gateway. */
 export interface ForwarderDependencies {
   context: GatewayContext;
-  backends: Backends;
+  backends: BackendTracker;
   watchdog: Watchdog;
   send: AttemptSender;
   shutdown: ShutdownPolicy;
@@ -247,7 +247,7 @@
       leftMs,
       lastEventId,
     });
-    deps.backends.sent(server.id);
+    deps.backends.recordSent(server.id);
     deps.queues.recordSent(request);
     stream?.startRun();
     const limits = limitsBeforeFirstEvent(
@@ -278,12 +278,12 @@
   // --- events of attempts ---
 
   onResponse({ server }: TrackedAttempt, { notRun }: AttemptResponse): void {
-    if (!notRun) this.deps.backends.progressed(server);
+    if (!notRun) this.deps.backends.recordProgress(server);
   }
 
   onData(attempt: TrackedAttempt, response: AttemptResponse, chunk: Buffer): void {
     if (this.stream && isValidSuccess(response)) {
-      this.deps.backends.progressed(attempt.server);
+      this.deps.backends.recordProgress(attempt.server);
       this.relayStreamChunk(attempt, response, this.stream, chunk);
     } else {
       attempt.body.push(chunk);
@@ -320,18 +320,18 @@
     const { server } = attempt;
     if (response.notRun) {
       this.endAttempt(attempt, `refused with ${response.status}`);
-      backends.answered(server, true);
+      backends.recordResult(server, true);
       this.handleRefusal();
       return;
     }
     if (isValidSuccess(response)) {
       this.endAttempt(attempt, 'answered');
-      backends.answered(server, false);
+      backends.recordResult(server, false);
       this.completeRequest(attempt, response);
       return;
     }
     this.endAttempt(attempt, `status ${response.status}`);
-    backends.answered(server, response.status >= 500);
+    backends.recordResult(server, response.status >= 500);
     if (!response.signed || response.encoded) {
       this.handleBrokenAttempt(
         `an answer with status ${response.status} that is not the backend server's`,
@@ -348,7 +348,7 @@
   private completeRequest(attempt: TrackedAttempt, response: AttemptResponse): void {
     const { stream, reply } = this;
     const { requests } = this.deps.context.platform;
-    if (stream?.isMidEvent) {
+    if (stream?.hasPartialEvent) {
       this.handleBrokenAttempt('the answer ended within an event');
       return;
     }
@@ -371,7 +371,7 @@
         this.handleRefusal();
         break;
       case 'broken':
-        backends.answered(attempt.server, true);
+        backends.recordResult(attempt.server, true);
         quarantine.recordBroken(this.request.fingerprint, attempt.target);
         this.handleBrokenAttempt(failure.reason);
         break;
@@ -495,7 +495,7 @@
     attempt.isEnded = true;
     this.attempts.delete(attempt);
     this.deps.watchdog.attempts.delete(attempt);
-    this.deps.backends.ended(attempt.server);
+    this.deps.backends.recordEnded(attempt.server);
     this.deps.queues.scheduleDispatch();
     this.deps.context.metrics.attempts.inc({ outcome: kind });
     if (how !== 'answered')
--- a/src/gateway/requests/request-report.ts
+++ b/src/gateway/requests/request-report.ts
@@ -4,7 +4,7 @@
 import { roundedAge } from '../../controllers/freshness/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { GatewayContext } from '../types.js';
-import type { ChosenTarget } from './backends.js';
+import type { ChosenTarget } from './backend-tracker.js';
 import type { AdmittedRequest, RequestHead, RequestOutcome } from './types.js';
 
 /** Summary of a finished request. */
--- a/src/gateway/requests/request-path.ts
+++ b/src/gateway/requests/request-server.ts
@@ -12,7 +12,7 @@
 import type { AttemptSender } from '../backends/attempt.js';
 import type { GatewayContext } from '../types.js';
 import { admitRequest } from './admission.js';
-import type { Backends } from './backends.js';
+import type { BackendTracker } from './backend-tracker.js';
 import { readBody, type BodyResult } from './request-body.js';
 import { computeFingerprint } from './fingerprint.js';
 import type { Quarantine } from './quarantine.js';
@@ -41,7 +41,7 @@
 
 interface RequestServerOptions {
   context: GatewayContext;
-  backends: Backends;
+  backends: BackendTracker;
   watchdog: Watchdog;
   send: AttemptSender;
   quarantine: Quarantine;
@@ -54,7 +54,7 @@
 const DEFAULT_IDLE_TIMEOUT_MS: Milliseconds = 60_000;
 const DEFAULT_MAX_BODY_BYTES = 4_194_304;
 
-export function createRequestPath(options: RequestServerOptions): RequestServer {
+export function createRequestServer(options: RequestServerOptions): RequestServer {
   const { context, watchdog } = options;
   const { board, clock, metrics, logger } = context;
   const shutdown = createShutdownPolicy(context);
--- a/src/gateway/requests/shutdown.ts
+++ b/src/gateway/requests/shutdown.ts
@@ -3,9 +3,9 @@
  * and how others are refused.
  */
 import {
-  estimateStream,
+  estimateStreamMs,
   isRepeatable,
-  latestBeginning,
+  latestStart,
   SlownessTable,
 } from '../../controllers/forwarding/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
@@ -41,7 +41,7 @@
       const expectedMs = estimateDuration(request) * slowness.slownessOf(modelKeyOf(request), now);
       return (
         now <=
-        latestBeginning(plan, { answerBy: deadline, expectedMs, isRepeatable: isRepeatable(route) })
+        latestStart(plan, { answerBy: deadline, expectedMs, isRepeatable: isRepeatable(route) })
       );
     },
     responseDeadline: () => board.stop.read()?.lastAnswerAt ?? Infinity,
@@ -55,7 +55,7 @@
 function estimateDuration({ service, model, caller, route }: RequestHead): Milliseconds {
   if (!service.engine || !model) return route.targetMs;
   const { promptTokens, maxOutputTokens } = caller;
-  return estimateStream(route, service.engine, model, promptTokens, maxOutputTokens);
+  return estimateStreamMs(route, service.engine, model, promptTokens, maxOutputTokens);
 }
 
 function modelKeyOf({ service, model }: RequestHead): string {
--- a/src/gateway/requests/stall-limits.ts
+++ b/src/gateway/requests/stall-limits.ts
@@ -2,12 +2,12 @@
  * How long an attempt may make no progress before it counts as stalled.
  */
 import {
-  firstEventAfter,
-  plainStallAfter,
-  stallAfter,
+  firstEventTimeout,
+  plainStallTimeout,
+  streamStallTimeout,
 } from '../../controllers/forwarding/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
-import type { ChosenTarget } from './backends.js';
+import type { ChosenTarget } from './backend-tracker.js';
 import type { AdmittedRequest } from './types.js';
 
 /** Times without progress that count as a stall. */
@@ -32,10 +32,10 @@
 ): StallLimits {
   const profile = service.engine;
   if (!profile || !model) {
-    const limitMs = plainStallAfter(route.targetMs);
+    const limitMs = plainStallTimeout(route.targetMs);
     return { serverStallMs: limitMs, attemptStallMs: limitMs };
   }
-  const firstEventMs = firstEventAfter(profile, model, caller.promptTokens, expectedFirstEventMs);
+  const firstEventMs = firstEventTimeout(profile, model, caller.promptTokens, expectedFirstEventMs);
   return {
     serverStallMs: inFlight < slots ? firstEventMs : Infinity,
     attemptStallMs: Math.max(LOST_RESPONSE_MS, 2 * firstEventMs),
@@ -45,5 +45,8 @@
 /** Limits between two events of a stream; undefined for responses that no model generates. */
 export function limitsBetweenEvents({ service, model }: AdmittedRequest): StallLimits | undefined {
   if (!service.engine || !model) return undefined;
-  return { serverStallMs: stallAfter(service.engine, model), attemptStallMs: LOST_RESPONSE_MS };
+  return {
+    serverStallMs: streamStallTimeout(service.engine, model),
+    attemptStallMs: LOST_RESPONSE_MS,
+  };
 }
--- a/src/gateway/requests/watchdog.ts
+++ b/src/gateway/requests/watchdog.ts
@@ -3,7 +3,7 @@
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { GatewayContext, GatewayPart } from '../types.js';
-import type { Backends } from './backends.js';
+import type { BackendTracker } from './backend-tracker.js';
 
 /** An attempt whose progress is checked. */
 export interface WatchedAttempt {
@@ -48,7 +48,10 @@
  */
 const PROCESS_PAUSE_MS: Milliseconds = 120;
 
-export function createWatchdog({ clock, logger }: GatewayContext, backends: Backends): Watchdog {
+export function createWatchdog(
+  { clock, logger }: GatewayContext,
+  backends: BackendTracker,
+): Watchdog {
   const attempts = new Set<WatchedAttempt>();
   const requests = new Set<WatchedRequest>();
   const pauseListeners: (() => void)[] = [];
@@ -80,7 +83,10 @@
     if (attempt.paused || !attempts.has(attempt)) return;
     const attemptSilenceMs = now - Math.max(attempt.lastProgressAt, resumedAt);
     const isPrevious = backends.isPreviousProcess(attempt.server, attempt.sentAt);
-    const serverSilenceMs = Math.min(attemptSilenceMs, now - backends.lastProgress(attempt.server));
+    const serverSilenceMs = Math.min(
+      attemptSilenceMs,
+      now - backends.lastProgressAt(attempt.server),
+    );
     if (serverSilenceMs > attempt.serverStallMs) {
       const evidence = `no data received for ${Math.round(serverSilenceMs)} ms`;
       // A previous process never responds again; its successor with the same id is not to blame.
--- a/src/gateway/store/client.ts
+++ b/src/gateway/store/client.ts
@@ -13,7 +13,7 @@
   qualifyPage,
   qualifyWrite,
   revisionOf,
-} from './place.js';
+} from './qualified-revision.js';
 import type {
   StoreCall,
   StoreChanges,
--- a/src/gateway/store/configuration-part.ts
+++ b/src/gateway/store/configuration-part.ts
@@ -20,16 +20,16 @@
 export interface ConfigurationPart extends GatewayPart {
   follower: FollowerSwitch;
   /** Activates `configuration` if it is newer than the active version. */
-  take(configuration: ServingConfiguration, source: 'store' | 'peer'): void;
+  apply(configuration: ServingConfiguration, source: 'store' | 'peer'): void;
   /**
    * Records that a peer has `version` active. A gateway that does not follow the store then reads it
    * from the store, since a configuration may be too large for the link between gateways.
    */
-  hearOf(version: number): void;
+  noteVersion(version: number): void;
   /** Records that a peer with `version` active had confirmed at `at` that it was the newest. */
-  takeProof(version: number, at: Milliseconds): void;
+  recordProof(version: number, at: Milliseconds): void;
   /** Calls `listener` after a version from the store has become active. */
-  onNews(listener: () => void): void;
+  onUpdate(listener: () => void): void;
 }
 
 /** Network delay within a region: a call sent earlier should have returned a version that a peer has. */
@@ -61,7 +61,7 @@
   let lastReadAt = Number.NEGATIVE_INFINITY;
 
   const activeVersion = (): number | undefined => section.read()?.configuration.version;
-  const applyVersion: ConfigurationPart['take'] = (configuration, source) => {
+  const applyVersion: ConfigurationPart['apply'] = (configuration, source) => {
     const current = activeVersion();
     if (current !== undefined && configuration.version <= current) return;
     section.write(indexConfiguration(configuration));
@@ -144,18 +144,18 @@
   });
   return {
     follower,
-    take: applyVersion,
-    hearOf: (version) => {
+    apply: applyVersion,
+    noteVersion: (version) => {
       if (version <= (activeVersion() ?? 0)) return;
       newestPeerVersion = Math.max(newestPeerVersion, version);
-      if (follower.isOn()) follower.doubtCallsBefore(clock.now() - PROPAGATION_MS);
+      if (follower.isOn()) follower.abortCallsBefore(clock.now() - PROPAGATION_MS);
       else void readUntilCurrent();
     },
-    takeProof: (version, at) => {
+    recordProof: (version, at) => {
       if (version > (activeVersion() ?? 0)) return;
       proof.write(laterProof(proof.read(), { at, source: 'peer' }));
     },
-    onNews: (listener) => {
+    onUpdate: (listener) => {
       listeners.push(listener);
     },
     start: () => undefined,
--- a/src/gateway/store/fleet-part.ts
+++ b/src/gateway/store/fleet-part.ts
@@ -6,24 +6,24 @@
 import {
   applyFleetChanges,
   expireVanished,
-  idOf,
+  serverIdOf,
   listChanged,
-  listChanges,
-  readEntry,
+  diffFleet,
+  resolveEntry,
   type FleetChange,
   type ServingFleet,
 } from '../../controllers/forwarding/index.js';
-import { lifeKey } from '../../controllers/groups/index.js';
+import { incarnationKey } from '../../controllers/groups/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { BackendServer, StoreChange, StoreObject } from '../../ports/index.js';
 import type { GatewayContext, GatewayPart } from '../types.js';
 import type { ObjectStore } from './client.js';
-import { ENTRY_RECOVERY_MS, type ContactKeeper } from './contact.js';
+import { ENTRY_RECOVERY_MS, type ReachabilityTracker } from './reachability.js';
 import { createFollowerSwitch, type FollowerSwitch } from './follower-switch.js';
-import { eraOf, revisionOf } from './place.js';
+import { eraOf, revisionOf } from './qualified-revision.js';
 
 /** Changes of backend servers, as relayed by the gateway that follows the store for its domain. */
-export interface FleetNews {
+export interface FleetUpdate {
   /** The update applies to a fleet that is complete up to this revision. */
   since: number;
   revision: number;
@@ -33,7 +33,7 @@
 }
 
 /** All backend servers known to one gateway. */
-export interface FleetCopy {
+export interface FleetSnapshot {
   revision: number;
   servers: readonly BackendServer[];
   /** Servers whose entries have disappeared, with the time left until they count as gone. */
@@ -44,20 +44,20 @@
 export interface FleetPart extends GatewayPart {
   follower: FollowerSwitch;
   /** Records that a peer at `revision` had confirmed at `at` that there was nothing newer. */
-  takeProof(revision: number, at: Milliseconds): void;
+  recordProof(revision: number, at: Milliseconds): void;
   /** Calls `listener` with each update that came from the store itself. */
-  onNews(listener: (update: FleetNews) => void): void;
+  onUpdate(listener: (update: FleetUpdate) => void): void;
   /** Applies an update from a peer. One that leaves a gap is ignored; a whole copy closes the gap. */
-  takeNews(update: FleetNews): void;
-  copy(): FleetCopy;
+  applyUpdate(update: FleetUpdate): void;
+  snapshot(): FleetSnapshot;
   /** Applies the state of a peer if its revision is later. */
-  takeCopy(copy: FleetCopy): void;
+  applySnapshot(copy: FleetSnapshot): void;
 }
 
 interface FleetPartOptions {
   context: GatewayContext;
   store: ObjectStore;
-  reachability: ContactKeeper;
+  reachability: ReachabilityTracker;
   section: WritableSection<ServingFleet>;
   proof: WritableSection<Proof | undefined>;
 }
@@ -71,7 +71,7 @@
 export function createFleetPart(options: FleetPartOptions): FleetPart {
   const { context, store, reachability, section, proof } = options;
   const { platform, logger, clock } = context;
-  const listeners: ((update: FleetNews) => void)[] = [];
+  const listeners: ((update: FleetUpdate) => void)[] = [];
   /** Incarnations of servers that are gone, with the time at which they were removed. */
   const goneIncarnations = new Map<string, Milliseconds>();
   let expiryTimer: NodeJS.Timeout | undefined;
@@ -90,7 +90,7 @@
     const now = clock.now();
     for (const id of next.changed) {
       const server = before.servers.get(id);
-      if (server && !next.servers.has(id)) goneIncarnations.set(lifeKey(server), now);
+      if (server && !next.servers.has(id)) goneIncarnations.set(incarnationKey(server), now);
     }
     for (const [incarnation, at] of goneIncarnations)
       if (now - at > GONE_RETENTION_MS) goneIncarnations.delete(incarnation);
@@ -98,8 +98,10 @@
   /** Keeps an incarnation out of service whose leaving or removal was lost in a restore. */
   const preserveLeaving = (server: BackendServer): BackendServer => {
     const known = section.read().servers.get(server.id);
-    const isSameIncarnation = known !== undefined && lifeKey(known) === lifeKey(server);
-    const hasLeft = goneIncarnations.has(lifeKey(server)) || (isSameIncarnation && known.leaving);
+    const isSameIncarnation =
+      known !== undefined && incarnationKey(known) === incarnationKey(server);
+    const hasLeft =
+      goneIncarnations.has(incarnationKey(server)) || (isSameIncarnation && known.leaving);
     return hasLeft ? { ...server, leaving: true } : server;
   };
   /**
@@ -111,7 +113,8 @@
     const sinceRestoreMs = clock.now() - restoredAt;
     if (sinceRestoreMs >= 2 * ENTRY_RECOVERY_MS) return server;
     const known = section.read().servers.get(server.id);
-    const isSameIncarnation = known !== undefined && lifeKey(known) === lifeKey(server);
+    const isSameIncarnation =
+      known !== undefined && incarnationKey(known) === incarnationKey(server);
     return isSameIncarnation && sinceRestoreMs < ENTRY_RECOVERY_MS
       ? known
       : preserveLeaving(server);
@@ -130,7 +133,7 @@
   const decode = ({ name, value, revision }: StoreObject): BackendServer | undefined => {
     const known = section.read().servers.get(name);
     const decoded = platform.decodeServer(name, value);
-    const server = readEntry(known, decoded);
+    const server = resolveEntry(known, decoded);
     if (decoded === undefined || server !== decoded) {
       logger.log('serverEntryRejected', {
         server: name,
@@ -148,7 +151,7 @@
   /** When absent servers count as gone, both here and at the sender of the update. */
   const absenceEffectiveFrom = (now: Milliseconds, delayMs: Milliseconds): Milliseconds =>
     Math.max(reachability.absenceEffectiveFrom(now), now + delayMs);
-  const applyChanges = ({ revision, absentInMs, changes }: Omit<FleetNews, 'since'>): void => {
+  const applyChanges = ({ revision, absentInMs, changes }: Omit<FleetUpdate, 'since'>): void => {
     const now = clock.now();
     const effectiveAt = absenceEffectiveFrom(now, absentInMs);
     commit(applyFleetChanges(section.read(), changes, revision, now, effectiveAt));
@@ -187,7 +190,7 @@
       // After a restore peers may know more of the old history than this gateway; `since` makes them
       // fetch a whole copy.
       const since = isRestored ? newest : known.revision;
-      applyFromStore(since, newest, listChanges(known, servers));
+      applyFromStore(since, newest, diffFleet(known, servers));
     },
     onChanges: ({ changes }) => {
       const newest = findNewestRevision(changes.map(({ object }) => object));
@@ -197,18 +200,18 @@
   });
   return {
     follower,
-    takeProof: (revision, at) => {
+    recordProof: (revision, at) => {
       if (revision > section.read().revision) return;
       proof.write(laterProof(proof.read(), { at, source: 'peer' }));
     },
-    onNews: (listener) => {
+    onUpdate: (listener) => {
       listeners.push(listener);
     },
-    takeNews: (update) => {
+    applyUpdate: (update) => {
       const { revision } = section.read();
       if (update.since <= revision && update.revision > revision) applyChanges(update);
     },
-    copy: () => {
+    snapshot: () => {
       const { revision, servers, vanished } = section.read();
       const now = clock.now();
       return {
@@ -217,18 +220,18 @@
         vanished: [...vanished].map(([id, at]) => ({ id, leftMs: Math.max(0, at - now) })),
       };
     },
-    takeCopy: ({ revision, servers, vanished }) => {
+    applySnapshot: ({ revision, servers, vanished }) => {
       const before = section.read();
       if (revision <= before.revision) return;
       detectRestore(revision);
       const now = clock.now();
-      const listed = listChanges(before, servers);
+      const listed = diffFleet(before, servers);
       let next = applyFleetChanges(before, listed, revision, now, absenceEffectiveFrom(now, 0));
       for (const { id, leftMs } of vanished) {
         const absent: FleetChange[] = [{ kind: 'absent', id }];
         next = applyFleetChanges(next, absent, revision, now, absenceEffectiveFrom(now, leftMs));
       }
-      const affected = [...listed.map(idOf), ...vanished.map(({ id }) => id)];
+      const affected = [...listed.map(serverIdOf), ...vanished.map(({ id }) => id)];
       commit({ ...next, changed: listChanged(before, next.servers, affected) });
     },
     start: () => {
--- a/src/gateway/store/follower-switch.ts
+++ b/src/gateway/store/follower-switch.ts
@@ -19,8 +19,8 @@
 /** Turning the follower off keeps the data received so far. */
 export interface FollowerSwitch {
   isOn(): boolean;
-  turn(mode: FollowMode): void;
-  doubtCallsBefore(at: Milliseconds): void;
+  setMode(mode: FollowMode): void;
+  abortCallsBefore(at: Milliseconds): void;
   relist(): void;
   stop(): Promise<void>;
 }
@@ -89,12 +89,12 @@
   };
   return {
     isOn: () => follower !== undefined,
-    turn: (next) => {
+    setMode: (next) => {
       mode = next;
       if (next === 'off') stopFollower();
       else follower ??= startFollower();
     },
-    doubtCallsBefore: (at) => {
+    abortCallsBefore: (at) => {
       follower?.abortCallsBefore(at);
     },
     relist: () => {
--- a/src/gateway/store/reachability-probe.ts
+++ b/src/gateway/store/reachability-probe.ts
@@ -4,7 +4,7 @@
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { GatewayContext, GatewayPart } from '../types.js';
 import type { ObjectStore } from './client.js';
-import type { ContactKeeper } from './contact.js';
+import type { ReachabilityTracker } from './reachability.js';
 
 /** Time without an answer after which the store is probed. */
 const PROBE_AFTER_MS: Milliseconds = 4_000;
@@ -13,7 +13,7 @@
 interface ReachabilityProbeOptions {
   context: GatewayContext;
   store: ObjectStore;
-  reachability: ContactKeeper;
+  reachability: ReachabilityTracker;
   /** Kind of the object to request; the object need not exist. */
   kind: string;
 }
@@ -34,7 +34,7 @@
 
   const probeIfQuiet = async (): Promise<void> => {
     const isQuiet = clock.now() - reachability.lastAnsweredSentAt() > PROBE_AFTER_MS;
-    if (!isQuiet || isProbing || !board.storeContact.read().reachable) return;
+    if (!isQuiet || isProbing || !board.storeReachability.read().reachable) return;
     isProbing = true;
     // The client reports the outcome to the reachability tracker.
     await store.check(kind, settings.name);
--- a/src/gateway/store/contact.ts
+++ b/src/gateway/store/reachability.ts
@@ -10,7 +10,7 @@
 export const ENTRY_RECOVERY_MS: Milliseconds = 2_200;
 
 /** Writes the board section of the store's reachability. */
-export interface ContactKeeper {
+export interface ReachabilityTracker {
   record(outcome: CallOutcome): void;
   /** Send time of the latest call that was answered. */
   lastAnsweredSentAt(): Milliseconds;
@@ -36,7 +36,7 @@
 export function createReachabilityTracker(
   { clock, logger }: Pick<GatewayContext, 'clock' | 'logger'>,
   section: WritableSection<StoreReachability>,
-): ContactKeeper {
+): ReachabilityTracker {
   const listeners: ((at: Milliseconds) => void)[] = [];
   let recoveredAt = Number.NEGATIVE_INFINITY;
   let restoredAt = Number.NEGATIVE_INFINITY;
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -62,7 +62,7 @@
   fleet: Section<ServingFleet>;
   /** Last confirmation that the known backend servers are up to date. */
   fleetProof: Section<Proof | undefined>;
-  storeContact: Section<StoreReachability>;
+  storeReachability: Section<StoreReachability>;
   /** Peers by name. */
   peers: Section<ReadonlyMap<string, GatewayPeer>>;
   peerLoad: Section<PeerLoad>;
@@ -76,7 +76,7 @@
   configurationProof: WritableSection<Proof | undefined>;
   fleet: WritableSection<ServingFleet>;
   fleetProof: WritableSection<Proof | undefined>;
-  storeContact: WritableSection<StoreReachability>;
+  storeReachability: WritableSection<StoreReachability>;
   peers: WritableSection<ReadonlyMap<string, GatewayPeer>>;
   peerLoad: WritableSection<PeerLoad>;
   stop: WritableSection<StopPlan | undefined>;
