--- a/src/controllers/calls/step-claim.ts
+++ b/src/controllers/calls/claim-results.ts
@@ -4,8 +4,8 @@
 import { createFailure } from '../../core/errors/index.js';
 import type { StoredObject } from '../../objects/index.js';
 import { UNAVAILABLE_RETRY_MS } from './constants.js';
-import { judgeRecord } from './judge.js';
-import type { CallFacts, CallPhase, CallProgress, CallStep, WriteEvent } from './messages.js';
+import { judgeRecord } from './record-decision.js';
+import type { CallFacts, CallPhase, CallProgress, CallStep, WriteEvent } from './call-state.js';
 import {
   ABSENT,
   answer,
--- a/src/controllers/calls/claimants.ts
+++ b/src/controllers/calls/claimants.ts
@@ -9,7 +9,7 @@
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { CallRecord, StoredObject } from '../../objects/index.js';
 import { HEARD_CLAIM_MS, MAX_OBSERVED_CLAIMS, REPLACED_CLAIM_MS } from './constants.js';
-import type { Claimant } from './messages.js';
+import type { Claimant } from './call-state.js';
 
 /** Claims of others that this entry met, by record and version, and when it first did. */
 export type ObservedClaims = Map<string, Milliseconds>;
--- a/src/controllers/calls/index.ts
+++ b/src/controllers/calls/index.ts
@@ -1,10 +1,10 @@
 export * from './batching.js';
 export * from './claimants.js';
-export * from './collection.js';
+export * from './expired-records.js';
 export * from './constants.js';
-export * from './judge.js';
+export * from './record-decision.js';
 export * from './keys.js';
-export * from './messages.js';
+export * from './call-state.js';
 export * from './record.js';
 export * from './step.js';
 export type * from './types.js';
--- a/src/controllers/calls/judge.ts
+++ b/src/controllers/calls/record-decision.ts
@@ -4,7 +4,7 @@
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import type { CallRecord, StoredObject } from '../../objects/index.js';
 import { IN_PROGRESS_RETRY_MS, UNAVAILABLE_RETRY_MS } from './constants.js';
-import type { CallFacts, CallProgress, CallRecordState } from './messages.js';
+import type { CallFacts, CallProgress, CallRecordState } from './call-state.js';
 import { decodeAnswer, readRecord } from './record.js';
 import type { OnceCall, OnceOutcome } from './types.js';
 
--- a/src/controllers/calls/record.ts
+++ b/src/controllers/calls/record.ts
@@ -4,7 +4,7 @@
 import type { CallRecord, StoredObject } from '../../objects/index.js';
 import { OBJECT_SCHEMAS } from '../../objects/index.js';
 import { MAX_KEPT_BODY_BYTES, MAX_KEPT_HEADER_CHARACTERS } from './constants.js';
-import type { CallRecordState, Claimant } from './messages.js';
+import type { CallRecordState, Claimant } from './call-state.js';
 import type { OnceCall, StoredAnswer } from './types.js';
 
 /** What the record of `call` says in `state`. */
--- a/src/controllers/calls/step.ts
+++ b/src/controllers/calls/step.ts
@@ -25,9 +25,9 @@
   CallRecordState,
   CallStep,
   WriteEvent,
-} from './messages.js';
+} from './call-state.js';
 import { encodeAnswer } from './record.js';
-import { stepClaim, stepGiveUp } from './step-claim.js';
+import { stepClaim, stepGiveUp } from './claim-results.js';
 import {
   ABSENT,
   answer,
--- a/src/controllers/calls/transitions.ts
+++ b/src/controllers/calls/transitions.ts
@@ -9,7 +9,7 @@
   CallProgress,
   CallRecordState,
   CallStep,
-} from './messages.js';
+} from './call-state.js';
 import { createRecord } from './record.js';
 import type { OnceOutcome } from './types.js';
 
