--- a/src/controllers/calls/batching.ts
+++ b/src/controllers/calls/batching.ts
@@ -1,57 +1,58 @@
 /**
- * When writes that wait go to the platform together, and when the platform is left alone.
+ * Batches writes to the platform, limits the call rate and backs off after failures.
  *
- * The platform counts calls, not writes. After a quiet span a write goes at once; under load the
- * next batch waits until the entry's share of {@link PLATFORM_CALLS_PER_SECOND} allows it. After one
- * failed call claims wait for a second try; after more they are refused at once until a call
- * succeeds: otherwise an outage would leave one claim of unknown fate behind for each request.
+ * The platform limits calls, not writes. An idle entry sends a write immediately; under load the
+ * next batch waits until the entry's share of {@link PLATFORM_CALLS_PER_SECOND} allows it. After
+ * one failed call claims stay queued. After further failures they are refused while the backoff
+ * lasts or a call is in flight, so that an outage doesn't leave a claim with an unknown result for
+ * each request.
  */
 import { MAX_BATCH_WRITES } from '../../adapters/platform/protocol.js';
 import type { PlatformWrite } from '../../adapters/platform/types.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Random } from '../../core/random/index.js';
 import {
-  FIRST_BACKOFF_MS,
+  INITIAL_BACKOFF_MS,
   MAX_BACKOFF_MS,
   MAX_BATCH_CHARACTERS,
-  MAX_BATCHES_UNDER_WAY,
+  MAX_BATCHES_IN_FLIGHT,
+  MAX_FAILURES_BEFORE_REFUSAL,
   MAX_WAITING_WRITES,
   PLATFORM_CALLS_PER_SECOND,
-  TOLERATED_FAILURES,
 } from './constants.js';
 
 const MS_PER_SECOND = 1_000;
 
-/** A write that waits for its batch. */
+/** A write queued for a batch. */
 export interface WaitingWrite {
   write: PlatformWrite;
   urgency: 'claim' | 'settlement';
-  /** Length of its value, in characters of JSON. */
+  /** Length of its JSON-encoded value, in characters. */
   characters: number;
 }
 
-/** The batching of one entry. */
+/** Batching state of one entry. */
 export interface Batching {
   waiting: WaitingWrite[];
   underWay: number;
   lastSentAt: Milliseconds;
-  /** Calls that failed since the last good one. */
+  /** Consecutive failed calls. */
   failures: number;
-  /** No call before; claims are refused until then. */
+  /** End of the current backoff; no call is sent before. */
   pausedUntil: Milliseconds;
 }
 
-/** What to do with the writes that wait. */
+/** What to do with the queued writes. */
 export type BatchPlan =
   | { kind: 'send'; batch: readonly WaitingWrite[] }
   | { kind: 'wait'; until: Milliseconds }
-  /** Nothing waits, or a call under way must end first. */
+  /** The queue is empty, or a call in flight must complete first. */
   | { kind: 'idle' };
 
-/** Whether a new claim may join, or how long to stay away. */
+/** Whether a new claim may be queued, or the retry delay if it is refused. */
 export type ClaimAdmission = { kind: 'join' } | { kind: 'refuse'; retryAfterMs: Milliseconds };
 
-/** Nothing waits and the platform is taken to be well. */
+/** Creates an empty queue without backoff. */
 export function createBatching(): Batching {
   return {
     waiting: [],
@@ -62,30 +63,30 @@
   };
 }
 
-/** Whether a claim may wait for a batch at `now`. */
+/** Decides whether a claim may be queued at `now`. */
 export function admitClaim(batching: Batching, now: Milliseconds): ClaimAdmission {
-  const refuse: ClaimAdmission = { kind: 'refuse', retryAfterMs: FIRST_BACKOFF_MS };
+  const refuse: ClaimAdmission = { kind: 'refuse', retryAfterMs: INITIAL_BACKOFF_MS };
   if (batching.waiting.length >= MAX_WAITING_WRITES) return refuse;
-  if (batching.failures <= TOLERATED_FAILURES) return { kind: 'join' };
+  if (batching.failures <= MAX_FAILURES_BEFORE_REFUSAL) return { kind: 'join' };
 
-  const pause = batching.pausedUntil - now;
-  if (pause > 0) return { kind: 'refuse', retryAfterMs: Math.ceil(pause) };
-  // Until a call succeeds again, one batch at a time tries the platform.
+  const pauseMs = batching.pausedUntil - now;
+  if (pauseMs > 0) return { kind: 'refuse', retryAfterMs: Math.ceil(pauseMs) };
+  // Until a call succeeds, only one batch at a time is sent as a probe.
   return batching.underWay > 0 ? refuse : { kind: 'join' };
 }
 
 /**
- * The batch to send at `now`; its writes leave `batching.waiting`. Claims go before settlements.
+ * Takes the next batch out of `batching.waiting` if one may be sent at `now`; claims go first.
  *
- * @param entries live entries, this one included.
+ * @param liveEntries number of live entries, including this one.
  */
-export function planBatch(batching: Batching, entries: number, now: Milliseconds): BatchPlan {
+export function planBatch(batching: Batching, liveEntries: number, now: Milliseconds): BatchPlan {
   if (batching.waiting.length === 0) return { kind: 'idle' };
-  const limit = batching.failures > 0 ? 1 : MAX_BATCHES_UNDER_WAY;
-  if (batching.underWay >= limit) return { kind: 'idle' };
-  const interval = (MS_PER_SECOND * entries) / PLATFORM_CALLS_PER_SECOND;
-  const until = Math.max(batching.pausedUntil, batching.lastSentAt + interval);
-  if (now < until) return { kind: 'wait', until };
+  const maxInFlight = batching.failures > 0 ? 1 : MAX_BATCHES_IN_FLIGHT;
+  if (batching.underWay >= maxInFlight) return { kind: 'idle' };
+  const interval = (MS_PER_SECOND * liveEntries) / PLATFORM_CALLS_PER_SECOND;
+  const earliestSendAt = Math.max(batching.pausedUntil, batching.lastSentAt + interval);
+  if (now < earliestSendAt) return { kind: 'wait', until: earliestSendAt };
 
   const batch = takeBatch(batching);
   batching.underWay += 1;
@@ -104,12 +105,12 @@
     batch.push(waiting);
     characters += waiting.characters;
   }
-  const taken = new Set(batch);
-  batching.waiting = batching.waiting.filter((waiting) => !taken.has(waiting));
+  const batched = new Set(batch);
+  batching.waiting = batching.waiting.filter((waiting) => !batched.has(waiting));
   return batch;
 }
 
-/** Notes that a call to the platform ended well. */
+/** Records that a platform call succeeded and ends the backoff. */
 export function noteBatchTaken(batching: Batching): void {
   batching.underWay -= 1;
   batching.failures = 0;
@@ -117,10 +118,10 @@
 }
 
 /**
- * Notes that a call to the platform failed. Returns the claims that still wait and are to be
- * refused now, as they never left this process; none after a single failure.
+ * Records that a platform call failed and starts a backoff. Returns the queued claims that must be
+ * refused; none after a single failure.
  *
- * @param retryAfterMs what the platform asked for, if anything.
+ * @param retryAfterMs retry delay requested by the platform.
  */
 export function noteBatchFailed(
   batching: Batching,
@@ -129,14 +130,14 @@
   retryAfterMs: Milliseconds = 0,
 ): readonly WaitingWrite[] {
   batching.underWay -= 1;
-  // Batches that were under way together fail together: that is one failure, not several.
+  // Concurrent batches that fail together count as one failure.
   if (now < batching.pausedUntil) return [];
-  const ceiling = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** batching.failures);
+  const maxBackoff = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** batching.failures);
   batching.failures += 1;
-  // Half fixed, half random, so that entries do not return to the platform in step.
-  const backoff = (ceiling / 2) * (1 + random.fraction());
+  // Half of the backoff is jitter, which keeps entries from retrying in sync.
+  const backoff = (maxBackoff / 2) * (1 + random.fraction());
   batching.pausedUntil = now + Math.max(backoff, Math.min(retryAfterMs, MAX_BACKOFF_MS));
-  if (batching.failures <= TOLERATED_FAILURES) return [];
+  if (batching.failures <= MAX_FAILURES_BEFORE_REFUSAL) return [];
 
   const refused = batching.waiting.filter(({ urgency }) => urgency === 'claim');
   batching.waiting = batching.waiting.filter(({ urgency }) => urgency === 'settlement');
--- a/src/controllers/calls/call-state.ts
+++ b/src/controllers/calls/call-state.ts
@@ -1,5 +1,5 @@
 /**
- * Events and actions of the state machine behind one call that may run only once.
+ * State, events and actions of the state machine for one at-most-once call.
  */
 import type { PlatformWrite } from '../../adapters/platform/types.js';
 import type { Milliseconds } from '../../core/clock/index.js';
@@ -9,44 +9,44 @@
 
 export type CallRecordState = CallRecord['state'];
 
-/** Who may send a call: one start of one entry. */
+/** The entry, in one incarnation, whose claim allows it to send a call. */
 export interface Claimant {
   entry: string;
   incarnation: string;
 }
 
-/** What happened. Results of writes name the write by its nonce. */
+/** Input of the state machine. Write results are matched to their write by its nonce. */
 export type CallEvent =
   | { kind: 'written'; nonce: string; version: number }
   | { kind: 'conflict'; nonce: string; current: StoredObject | undefined }
-  /** `left` says whether the write left this process, so that it may still take effect. */
+  /** `left` tells whether the write may have left this process and may still take effect. */
   | { kind: 'writeFailed'; nonce: string; failure: Failure; left: boolean }
   | { kind: 'sendEnded'; outcome: SendOutcome }
-  /** The time to try an unsettled record again has come. */
+  /** The backoff requested by `retryLater` has elapsed. */
   | { kind: 'retryDue' }
   | { kind: 'deadlinePassed' };
 
-/** How a write ended. */
+/** Result of a write. */
 export type WriteEvent = Extract<CallEvent, { nonce: string }>;
 
-/** What the shell has to do. */
+/** Side effects requested from the caller of the state machine. */
 export type CallAction =
-  /** A claim holds up a caller; a settlement does not. */
+  /** Claims take priority, because a caller waits for them. */
   | { kind: 'write'; write: PlatformWrite; urgency: 'claim' | 'settlement' }
-  /** Give the call to a backend server: at most once in the life of the state. */
+  /** Sends the call to a backend server. Emitted at most once per call. */
   | { kind: 'send' }
-  /** Final for the caller: at most once in the life of the state. */
+  /** Completes the caller's request. Emitted at most once per call. */
   | { kind: 'answer'; outcome: OnceOutcome }
-  /** Report `retryDue` after the back-off. */
+  /** Requests a `retryDue` event after a backoff. */
   | { kind: 'retryLater' }
-  /** The record stands at `version`; nothing is left to do. */
+  /** The final record has been written at `version`. */
   | { kind: 'settled'; version: number };
 
-/** Where a call stands. */
+/** Phase of a call on this entry. */
 export type CallPhase =
   | { kind: 'claiming'; nonce: string; expected: number }
   | { kind: 'sending'; nonce: string; version: number }
-  /** Sent, or never to be sent; `state` is what the record is to say. */
+  /** Already sent, or never to be sent; `state` is being written to the record. */
   | {
       kind: 'settling';
       nonce: string;
@@ -54,29 +54,29 @@
       expected: number;
       state: CallRecordState;
     }
-  /** Recording that the outcome of a call claimed by a lost entry is unknown. */
+  /** Recording an unknown outcome for a call whose claimant is lost. */
   | { kind: 'givingUp'; nonce: string }
   | { kind: 'ended' };
 
-/** One call at one entry. */
+/** State of a call on one entry. */
 export interface CallProgress {
   readonly name: string;
   readonly call: OnceCall;
   readonly phase: CallPhase;
-  /** The caller has its final answer. */
+  /** Whether the caller has received its final result. */
   readonly answered: boolean;
 }
 
-/** What a step may ask beside the event. */
+/** Environment of a state transition. */
 export interface CallFacts {
   now: Milliseconds;
   claimant: Claimant;
   createNonce(): string;
-  /** Whether the claimant of `record` is to be taken as gone for good. */
+  /** Whether the claimant of `record` is considered permanently lost. */
   isClaimantLost(record: CallRecord, stored: StoredObject): boolean;
 }
 
-/** The outcome of one step. */
+/** Result of a state transition. */
 export interface CallStep {
   progress: CallProgress;
   actions: readonly CallAction[];
--- a/src/controllers/calls/claim-results.ts
+++ b/src/controllers/calls/claim-results.ts
@@ -1,41 +1,41 @@
 /**
- * Steps of a call whose record this entry tries to claim, or finds claimed by a lost entry.
+ * Transitions after this entry claimed a record or gave up the claim of a lost entry.
  */
 import { createFailure } from '../../core/errors/index.js';
 import type { StoredObject } from '../../objects/index.js';
 import { UNAVAILABLE_RETRY_MS } from './constants.js';
-import { judgeRecord } from './record-decision.js';
+import { decideByRecord } from './record-decision.js';
 import type { CallFacts, CallPhase, CallProgress, CallStep, WriteEvent } from './call-state.js';
 import {
-  ABSENT,
-  answer,
-  answerFailure,
-  claim,
-  end,
-  join,
-  settle,
-  settled,
+  ABSENT_VERSION,
+  answerCaller,
+  answerWithFailure,
+  concatenateSteps,
+  endCall,
+  endSettled,
+  settleRecord,
+  writeClaim,
   type Phase,
 } from './transitions.js';
 
-/** A claim's write ended. */
-export function stepClaim(
+/** Handles the result of a claim's write. */
+export function handleClaimResult(
   progress: CallProgress,
   phase: Phase<'claiming'>,
   event: WriteEvent,
-  facts: CallFacts,
+  context: CallFacts,
 ): CallStep {
   switch (event.kind) {
     case 'written':
-      return startSending(progress, phase, event.version, facts);
+      return startSending(progress, phase, event.version, context);
     case 'conflict':
-      // The claim took effect and its answer was lost: the nonce is this claim's own.
+      // The nonce matches: this claim took effect, but the response to the write was lost.
       if (event.current?.nonce === phase.nonce) {
-        return startSending(progress, phase, event.current.version, facts);
+        return startSending(progress, phase, event.current.version, context);
       }
-      return meetRecord(progress, event.current, facts);
+      return applyExistingRecord(progress, event.current, context);
     case 'writeFailed':
-      return abandonClaim(progress, phase, event, facts);
+      return abandonClaim(progress, phase, event, context);
   }
 }
 
@@ -43,15 +43,21 @@
   progress: CallProgress,
   phase: Phase<'claiming'>,
   version: number,
-  facts: CallFacts,
+  context: CallFacts,
 ): CallStep {
   const { deadlineAt } = progress.call;
-  const late = deadlineAt !== undefined && facts.now >= deadlineAt;
-  // A process that was paused after claiming wakes up here: its caller may be long gone.
-  if (progress.answered || late) {
-    const refusal = answerFailure(progress, createFailure('deadlineBeforeStart'));
-    const settlement = settle(refusal.progress, phase.nonce, version, { kind: 'notRun' }, facts);
-    return join(refusal, settlement);
+  const deadlinePassed = deadlineAt !== undefined && context.now >= deadlineAt;
+  // The process may have been paused after claiming, so the deadline may have passed.
+  if (progress.answered || deadlinePassed) {
+    const refusal = answerWithFailure(progress, createFailure('deadlineBeforeStart'));
+    const settlement = settleRecord(
+      refusal.progress,
+      phase.nonce,
+      version,
+      { kind: 'notRun' },
+      context,
+    );
+    return concatenateSteps(refusal, settlement);
   }
   const sending: CallPhase = { kind: 'sending', nonce: phase.nonce, version };
   return { progress: { ...progress, phase: sending }, actions: [{ kind: 'send' }] };
@@ -61,49 +67,49 @@
   progress: CallProgress,
   phase: Phase<'claiming'>,
   event: Extract<WriteEvent, { kind: 'writeFailed' }>,
-  facts: CallFacts,
+  context: CallFacts,
 ): CallStep {
   const reason = event.failure.message;
   const retryAfterMs = event.failure.retryAfterMs ?? UNAVAILABLE_RETRY_MS;
   const failure = createFailure('recordUnavailable', { reason }, retryAfterMs);
-  const refusal = answerFailure(progress, failure);
-  if (!event.left) return join(refusal, end(refusal.progress));
-  const waiting: CallPhase = {
+  const refusal = answerWithFailure(progress, failure);
+  if (!event.left) return concatenateSteps(refusal, endCall(refusal.progress));
+  const settling: CallPhase = {
     kind: 'settling',
-    nonce: facts.createNonce(),
+    nonce: context.createNonce(),
     claimNonce: phase.nonce,
     expected: phase.expected,
     state: { kind: 'notRun' },
   };
   return {
-    progress: { ...refusal.progress, phase: waiting },
+    progress: { ...refusal.progress, phase: settling },
     actions: [...refusal.actions, { kind: 'retryLater' }],
   };
 }
 
-function meetRecord(
+function applyExistingRecord(
   progress: CallProgress,
   current: StoredObject | undefined,
-  facts: CallFacts,
+  context: CallFacts,
 ): CallStep {
-  // The caller was given up while the claim was under way: the key is left as it is.
-  if (progress.answered) return end(progress);
-  const verdict = judgeRecord(progress.call, current, facts);
-  switch (verdict.kind) {
+  // The caller was answered while the claim was in flight, so the record is left unchanged.
+  if (progress.answered) return endCall(progress);
+  const decision = decideByRecord(progress.call, current, context);
+  switch (decision.kind) {
     case 'answer': {
-      const answered = answer(progress, verdict.outcome);
-      return join(answered, end(answered.progress));
+      const answered = answerCaller(progress, decision.outcome);
+      return concatenateSteps(answered, endCall(answered.progress));
     }
     case 'claim':
-      return claim(progress, verdict.expected, facts);
+      return writeClaim(progress, decision.expected, context);
     case 'giveUp': {
-      const nonce = facts.createNonce();
+      const nonce = context.createNonce();
       const { name } = progress;
-      const value = { ...verdict.record, state: { kind: 'unknown' } };
+      const value = { ...decision.record, state: { kind: 'unknown' } };
       const write = {
         kind: 'call-record',
         name,
-        expected: verdict.expected,
+        expected: decision.expected,
         nonce,
         value,
       } as const;
@@ -115,24 +121,26 @@
   }
 }
 
-/** The write that gives up a lost entry's claim ended. */
-export function stepGiveUp(
+/** Handles the result of the write that gives up a lost entry's claim. */
+export function handleGiveUpResult(
   progress: CallProgress,
   phase: Phase<'givingUp'>,
   event: WriteEvent,
-  facts: CallFacts,
+  context: CallFacts,
 ): CallStep {
   if (event.kind === 'writeFailed') {
-    const answered = answerFailure(
+    const answered = answerWithFailure(
       progress,
       createFailure('callInProgress', undefined, UNAVAILABLE_RETRY_MS),
     );
-    return join(answered, end(answered.progress));
+    return concatenateSteps(answered, endCall(answered.progress));
   }
-  const own = event.kind === 'conflict' && event.current?.nonce === phase.nonce;
-  if (event.kind === 'conflict' && !own) return meetRecord(progress, event.current, facts);
-  const version = event.kind === 'written' ? event.version : (event.current?.version ?? ABSENT);
+  const tookEffect = event.kind === 'conflict' && event.current?.nonce === phase.nonce;
+  if (event.kind === 'conflict' && !tookEffect)
+    return applyExistingRecord(progress, event.current, context);
+  const version =
+    event.kind === 'written' ? event.version : (event.current?.version ?? ABSENT_VERSION);
   const reason = 'the entry that ran it was lost';
-  const answered = answerFailure(progress, createFailure('outcomeUnknown', { reason }));
-  return join(answered, settled(answered.progress, version));
+  const answered = answerWithFailure(progress, createFailure('outcomeUnknown', { reason }));
+  return concatenateSteps(answered, endSettled(answered.progress, version));
 }
--- a/src/controllers/calls/claimants.ts
+++ b/src/controllers/calls/claimants.ts
@@ -1,24 +1,28 @@
 /**
- * When the claimant of a call is taken as gone for good.
+ * Detects claimants that are permanently lost.
  *
- * Taking a living claimant for lost does no harm to the guarantees: its record then says that the
- * outcome is unknown, and it never runs again. It only costs the answer, so the spans are long.
- * A claim's age is counted from when this entry first met it, since wall clocks are not compared.
+ * A false positive is safe: the outcome is recorded as unknown and the call never runs again. But
+ * its response can't be replayed, so the timeouts are long. A claim's age counts from its first
+ * observation by this entry, as wall clocks of different entries are not comparable.
  */
 import type { Peers } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { CallRecord, StoredObject } from '../../objects/index.js';
-import { HEARD_CLAIM_MS, MAX_OBSERVED_CLAIMS, REPLACED_CLAIM_MS } from './constants.js';
+import {
+  LIVE_CLAIMANT_TIMEOUT_MS,
+  MAX_OBSERVED_CLAIMS,
+  RESTARTED_CLAIMANT_TIMEOUT_MS,
+} from './constants.js';
 import type { Claimant } from './call-state.js';
 
-/** Claims of others that this entry met, by record and version, and when it first did. */
+/** Time at which this entry first observed each claim, by record name and version. */
 export type ObservedClaims = Map<string, Milliseconds>;
 
 /**
- * Whether the claimant of `record` is lost, and notes the claim in `observed`.
+ * Returns whether the claimant of `record` is lost, and records the claim in `observed`.
  *
- * @param self the entry that asks.
- * @param unheardClaimMs how long a claim stands when its claimant is not heard of.
+ * @param self this entry in its current incarnation.
+ * @param unheardClaimMs age at which a claim expires if its claimant is not in the peer table.
  */
 export function observeClaim(
   observed: ObservedClaims,
@@ -29,28 +33,30 @@
   unheardClaimMs: Milliseconds,
   now: Milliseconds,
 ): boolean {
-  // Names of entries are unique: an earlier start of this very entry has ended.
+  // Entry names are unique, so an earlier incarnation of this entry has ended.
   if (record.entry === self.entry && record.incarnation !== self.incarnation) return true;
 
   const id = `${stored.name}@${stored.version}`;
   const since = observed.get(id) ?? now;
-  noteClaim(observed, id, since);
-  return now - since >= boundClaim(record, self, peers, unheardClaimMs);
+  recordObservation(observed, id, since);
+  return now - since >= getClaimTimeout(record, self, peers, unheardClaimMs);
 }
 
-function boundClaim(
+function getClaimTimeout(
   record: CallRecord,
   self: Claimant,
   peers: Peers,
   unheardClaimMs: Milliseconds,
 ): Milliseconds {
-  if (record.entry === self.entry) return HEARD_CLAIM_MS;
+  if (record.entry === self.entry) return LIVE_CLAIMANT_TIMEOUT_MS;
   const peer = peers.get(record.entry);
   if (peer === undefined) return unheardClaimMs;
-  return peer.incarnation === record.incarnation ? HEARD_CLAIM_MS : REPLACED_CLAIM_MS;
+  return peer.incarnation === record.incarnation
+    ? LIVE_CLAIMANT_TIMEOUT_MS
+    : RESTARTED_CLAIMANT_TIMEOUT_MS;
 }
 
-function noteClaim(observed: ObservedClaims, id: string, since: Milliseconds): void {
+function recordObservation(observed: ObservedClaims, id: string, since: Milliseconds): void {
   observed.delete(id);
   observed.set(id, since);
   if (observed.size <= MAX_OBSERVED_CLAIMS) return;
--- a/src/controllers/calls/constants.ts
+++ b/src/controllers/calls/constants.ts
@@ -1,76 +1,76 @@
 /**
- * Bounds and spans of calls that may run only once.
+ * Limits and timeouts of at-most-once calls.
  */
 
-/** Longest Idempotency-Key taken, in characters. */
+/** Longest Idempotency-Key accepted, in characters. */
 export const MAX_KEY_LENGTH = 255;
 
 /**
- * Largest answer kept, in bytes of its body. In base64 it takes 4/3 of that, which stays under the
- * platform's 1 MB per value with room for headers.
+ * Largest response body stored in a call record, in bytes. Base64 adds a third, which still leaves
+ * room for headers within the platform's limit of 1 MB per value.
  */
-export const MAX_KEPT_BODY_BYTES = 512 * 1024;
+export const MAX_STORED_BODY_BYTES = 512 * 1024;
 
-/** Largest sum of an answer's header fields that is kept, in characters. */
-export const MAX_KEPT_HEADER_CHARACTERS = 32 * 1024;
+/** Largest total size of response headers stored in a call record, in characters. */
+export const MAX_STORED_HEADER_CHARACTERS = 32 * 1024;
 
-/** What a caller is told to wait while another request with its key is in progress, in ms. */
+/** Retry delay sent while another request with the same key is in progress, in ms. */
 export const IN_PROGRESS_RETRY_MS = 1_000;
 
-/** What a caller is told to wait when no record can be made and nothing better is known, in ms. */
+/** Default retry delay sent when no call record can be written, in ms. */
 export const UNAVAILABLE_RETRY_MS = 1_000;
 
 /**
- * How long a claim stands before it is given up when another start of its claimant is heard of, in
- * ms. Longer than news of a restart takes to reach all entries: the claim may be the newer start's.
+ * Age in ms at which a claim expires if the peer table lists another incarnation of its claimant.
+ * Longer than a restart takes to become known to all entries, as the claim may belong to the newer
+ * incarnation.
  */
-export const REPLACED_CLAIM_MS = 10_000;
+export const RESTARTED_CLAIMANT_TIMEOUT_MS = 10_000;
 
-/** How long a claim stands before it is given up though its claimant is heard of, in ms. */
-export const HEARD_CLAIM_MS = 900_000;
+/** Age at which a claim expires although its claimant is alive, in ms. */
+export const LIVE_CLAIMANT_TIMEOUT_MS = 900_000;
 
-/** Claims of other entries whose age is remembered. */
+/** Maximum number of claims whose first observation is remembered. */
 export const MAX_OBSERVED_CLAIMS = 4_096;
 
-/** Furthest that a key's time may lie ahead of this entry's wall clock, in ms. */
-export const MAX_KEY_AHEAD_MS = 86_400_000;
+/** Maximum lead of a key's timestamp over this entry's wall clock, in ms. */
+export const MAX_KEY_CLOCK_LEAD_MS = 86_400_000;
 
-/** Most that wall clocks of two entries are apart, in ms; records outlive their keys by it. */
-export const CLOCK_SKEW_MS = 3_600_000;
+/** Maximum wall clock skew between entries, in ms. Records outlive their keys by this span. */
+export const MAX_CLOCK_SKEW_MS = 3_600_000;
 
-/** Size of the values in one platform call, in characters, above which no further write joins. */
+/** Maximum total size of the values in a batch, in characters; a single write may exceed it. */
 export const MAX_BATCH_CHARACTERS = 1_000_000;
 
-/** Platform calls under way at once from one entry. */
-export const MAX_BATCHES_UNDER_WAY = 8;
+/** Maximum number of concurrent platform calls per entry. */
+export const MAX_BATCHES_IN_FLIGHT = 8;
 
-/** Writes that wait for a batch at one entry. */
+/** Number of queued writes per entry at which new claims are refused. */
 export const MAX_WAITING_WRITES = 8_192;
 
-/** Platform calls per second that all entries together make for call records. */
+/** Maximum rate of platform calls for call records, shared by all entries. */
 export const PLATFORM_CALLS_PER_SECOND = 200;
 
-/** Platform calls that may fail in a row before claims are refused at once instead of waiting. */
-export const TOLERATED_FAILURES = 1;
+/** Consecutive platform failures up to which claims are still queued instead of refused. */
+export const MAX_FAILURES_BEFORE_REFUSAL = 1;
 
-/** First and longest wait after platform calls that failed, in ms. */
-export const FIRST_BACKOFF_MS = 250;
+/** Initial and maximum backoff after failed platform calls, in ms. */
+export const INITIAL_BACKOFF_MS = 250;
 export const MAX_BACKOFF_MS = 1_000;
 
-/** Calls that one entry keeps open: in progress, or with a record still to be settled. */
+/** Maximum number of open calls per entry: in progress, or with an unsettled record. */
 export const MAX_OPEN_CALLS = 8_192;
 
-/** Answers that one entry holds until they are recorded, in bytes of their bodies. */
+/** Maximum total body size of the responses an entry holds until they are recorded, in bytes. */
 export const MAX_HELD_ANSWER_BYTES = 16 * 1024 * 1024;
 
-/** One hour, in ms. */
 export const HOUR_MS = 3_600_000;
 
-/** How many hours back records that are due are looked for: covers outages of a few days. */
-export const LOOK_BACK_HOURS = 96;
+/** How many past hours are searched for expired records; covers outages of a few days. */
+export const CLEANUP_LOOKBACK_HOURS = 96;
 
-/** Settled records that one entry remembers until it has listed them. */
+/** Maximum number of settled records an entry remembers before it writes them to a list. */
 export const MAX_UNLISTED_RECORDS = 50_000;
 
-/** Records in one list. */
+/** Maximum number of records per list. */
 export const MAX_LISTED_RECORDS = 5_000;
--- a/src/controllers/calls/expired-records.ts
+++ b/src/controllers/calls/expired-records.ts
@@ -1,40 +1,43 @@
 /**
- * Which call records are past the retention, and who removes them.
+ * Finds call records whose retention has ended and assigns their removal to entries.
  *
- * There are too many records to list. Each entry writes down the names of those that it settled,
- * in lists, by the hour in which they are to go: `<series>.0`, `<series>.1`, … A series belongs to
- * one start of one entry and one hour, and the object of the hour names its series. So a record
- * costs a small part of a list, and what is due is found by reading objects with known names.
+ * There are too many records to enumerate. Each entry writes the names of the records it settled
+ * to lists, grouped by the hour in which they become due: `<series>.0`, `<series>.1`, …
+ * A series belongs to one incarnation of an entry and one hour. The object of the hour names its
+ * series, so expired records are found by reading objects with known names.
  *
- * An entry that dies leaves the records that it had not listed yet in the platform. That costs
- * space and nothing else.
+ * Records that an entry had not listed before it failed stay in the platform and only take space.
  */
 import type { PlatformWrite } from '../../adapters/platform/types.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { CallIndex } from '../../objects/index.js';
 import { findByRendezvous } from '../membership/index.js';
-import { CLOCK_SKEW_MS, HOUR_MS, LOOK_BACK_HOURS, MAX_UNLISTED_RECORDS } from './constants.js';
+import {
+  CLEANUP_LOOKBACK_HOURS,
+  HOUR_MS,
+  MAX_CLOCK_SKEW_MS,
+  MAX_UNLISTED_RECORDS,
+} from './constants.js';
 import type { KeyAge } from './keys.js';
 
-/** A record as a list names it. */
+/** Item of a record list. */
 export type ListedRecord = Extract<CallIndex, { kind: 'list' }>['records'][number];
 
-/** Records that are settled and not listed yet, by the hour in which they are to go. */
+/** Settled records not yet written to a list, by the hour in which they become due for removal. */
 export interface UnlistedRecords {
   byHour: Map<number, ListedRecord[]>;
   count: number;
 }
 
-/** Nothing is to be listed. */
 export function createUnlisted(): UnlistedRecords {
   return { byHour: new Map(), count: 0 };
 }
 
 /**
- * Notes that a record was settled. Beyond {@link MAX_UNLISTED_RECORDS}, in a long outage, it is
- * not noted: it will stay in the platform.
+ * Adds a settled record to `unlisted`. Once {@link MAX_UNLISTED_RECORDS} is reached, as in a long
+ * outage, the record is skipped and stays in the platform.
  *
- * @param wallNow milliseconds since 1970.
+ * @param wallNow wall clock, in ms since the Unix epoch.
  */
 export function noteSettled(
   unlisted: UnlistedRecords,
@@ -45,8 +48,8 @@
 ): void {
   if (unlisted.count >= MAX_UNLISTED_RECORDS) return;
   const expiresAt = age.kind === 'timed' ? age.expiresAt : wallNow + retentionMs;
-  // An entry whose wall clock is behind may still take the key for a while: the record outlives it.
-  const hour = Math.ceil((expiresAt + CLOCK_SKEW_MS) / HOUR_MS);
+  // The record outlives its key, as an entry with a slower wall clock may still accept the key.
+  const hour = Math.ceil((expiresAt + MAX_CLOCK_SKEW_MS) / HOUR_MS);
   const { name, version } = record;
   const records = unlisted.byHour.get(hour) ?? [];
   records.push({ name, version, timed: age.kind === 'timed' });
@@ -54,50 +57,51 @@
   unlisted.count += 1;
 }
 
-/** Takes the records of one hour, to list them. */
+/** Removes and returns up to `limit` unlisted records of one hour. */
 export function takeUnlisted(
   unlisted: UnlistedRecords,
   hour: number,
-  most: number,
+  limit: number,
 ): ListedRecord[] {
   const records = unlisted.byHour.get(hour) ?? [];
-  const taken = records.splice(0, most);
+  const taken = records.splice(0, limit);
   unlisted.count -= taken.length;
   if (records.length === 0) unlisted.byHour.delete(hour);
   return taken;
 }
 
 /**
- * The hours whose records `self` is to remove now.
+ * Returns the due hours, oldest first, whose records `self` has to remove.
  *
- * @param live names of the live entries, `self` included.
- * @param done hours that need not be looked at again.
+ * @param liveEntries names of the live entries, including `self`.
+ * @param completedHours hours that need no further check.
  */
 export function listDueHours(
   wallNow: Milliseconds,
   self: string,
-  live: readonly string[],
-  done: ReadonlySet<number>,
+  liveEntries: readonly string[],
+  completedHours: ReadonlySet<number>,
 ): number[] {
-  const last = Math.floor(wallNow / HOUR_MS);
-  const hours = Array.from({ length: LOOK_BACK_HOURS }, (_, index) => last - index);
-  const isOwn = (hour: number): boolean => findByRendezvous(live, nameHour(hour)) === self;
-  return hours.filter((hour) => !done.has(hour) && isOwn(hour)).reverse();
+  const currentHour = Math.floor(wallNow / HOUR_MS);
+  const hours = Array.from({ length: CLEANUP_LOOKBACK_HOURS }, (_, index) => currentHour - index);
+  const isAssignedToSelf = (hour: number): boolean =>
+    findByRendezvous(liveEntries, nameHour(hour)) === self;
+  return hours.filter((hour) => !completedHours.has(hour) && isAssignedToSelf(hour)).reverse();
 }
 
-/** The object that names the series of an hour. */
+/** Returns the name of the object that lists the series of an hour. */
 export function nameHour(hour: number): string {
   return `hour-${hour}`;
 }
 
 /**
- * The write that removes a listed record. It is conditional on the version that was listed: a
- * record that changed since was settled anew, and stands in a later list.
+ * Creates the write that removes a listed record. It is conditional on the listed version: a record
+ * that has changed since was settled again and is part of a later list.
  */
 export function planRemoval(record: ListedRecord, nonce: string): PlatformWrite {
   const { name, version: expected } = record;
   const write = { kind: 'call-record', name, expected, nonce } as const;
   if (record.timed) return { ...write, deleted: true, value: null };
-  // Without a time in it the key would look new once its record is gone.
+  // A key without a timestamp would be accepted as new if its record were deleted.
   return { ...write, value: { state: { kind: 'expired' } } };
 }
--- a/src/controllers/calls/record-decision.ts
+++ b/src/controllers/calls/record-decision.ts
@@ -1,5 +1,5 @@
 /**
- * What an existing record means for a request with its key.
+ * Decides how to handle a request whose key already has a record or an open call.
  */
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import type { CallRecord, StoredObject } from '../../objects/index.js';
@@ -8,20 +8,20 @@
 import { decodeAnswer, readRecord } from './record.js';
 import type { OnceCall, OnceOutcome } from './types.js';
 
-/** What to do about an existing record. */
-export type RecordVerdict =
+/** How to proceed with an existing record. */
+export type RecordDecision =
   | { kind: 'answer'; outcome: OnceOutcome }
-  /** Proved not to have run: claim it on the version seen. */
+  /** The call is known not to have run: claim the record at the version read. */
   | { kind: 'claim'; expected: number }
-  /** Its claimant is lost: record that the outcome is unknown. */
+  /** The claimant is lost: record that the outcome is unknown. */
   | { kind: 'giveUp'; expected: number; record: CallRecord };
 
-/** Judges the record that stands where `call` tried to make its own. */
-export function judgeRecord(
+/** Decides how `call` proceeds after its claim conflicted with the record `current`. */
+export function decideByRecord(
   call: OnceCall,
   current: StoredObject | undefined,
-  facts: CallFacts,
-): RecordVerdict {
+  context: CallFacts,
+): RecordDecision {
   if (current === undefined) {
     const reason = 'the record was removed while it was claimed';
     return refuse(createFailure('recordUnavailable', { reason }, UNAVAILABLE_RETRY_MS));
@@ -36,14 +36,18 @@
     }
     case 'record':
       if (!isSameCall(call, content.record)) return refuse(createFailure('keyReused'));
-      return judgeState(content.record, current, facts);
+      return decideByState(content.record, current, context);
   }
 }
 
-function judgeState(record: CallRecord, current: StoredObject, facts: CallFacts): RecordVerdict {
+function decideByState(
+  record: CallRecord,
+  current: StoredObject,
+  context: CallFacts,
+): RecordDecision {
   switch (record.state.kind) {
     case 'claimed':
-      if (facts.isClaimantLost(record, current)) {
+      if (context.isClaimantLost(record, current)) {
         return { kind: 'giveUp', expected: current.version, record };
       }
       return refuse(createFailure('callInProgress', undefined, IN_PROGRESS_RETRY_MS));
@@ -52,32 +56,31 @@
     case 'answered':
     case 'answerTooLarge':
     case 'unknown':
-      return { kind: 'answer', outcome: replaySettled(record.state) };
+      return { kind: 'answer', outcome: replayFinalState(record.state) };
   }
 }
 
 type FinalState = Exclude<CallRecordState, { kind: 'claimed' | 'notRun' }>;
 
-function replaySettled(state: FinalState): OnceOutcome {
+function replayFinalState(state: FinalState): OnceOutcome {
   switch (state.kind) {
     case 'answered':
       return { kind: 'answered', answer: decodeAnswer(state), replayed: true };
     case 'answerTooLarge':
-      return failed(createFailure('answerNotKept', { status: state.status }));
+      return failCall(createFailure('answerNotKept', { status: state.status }));
     case 'unknown': {
       const reason = 'whether an earlier request with this key took effect was never learnt';
-      return failed(createFailure('outcomeUnknown', { reason }));
+      return failCall(createFailure('outcomeUnknown', { reason }));
     }
   }
 }
 
 /**
- * Whether the record decides about a repeat of `open`, and this entry has yet to learn what it says.
+ * Returns whether a retry has to wait for the result of a write that is still in flight.
  *
- * Guards against an entry that was paused after its claim: others may have recorded meanwhile that
- * the outcome is unknown, and this one would tell a repeat that the call is in progress. It shows as
- * a call that is open here though its own caller has been answered, because its claim, or the note
- * that it was not run, is under way. What the platform answers to that write tells.
+ * Applies to calls whose own caller has been answered while the claim or the `notRun` settlement is
+ * pending. If this entry was paused, another one may have recorded an unknown outcome meanwhile, so
+ * reporting the call as in progress could be wrong.
  */
 export function isFateOpen({ answered, phase }: CallProgress): boolean {
   if (!answered) return false;
@@ -94,45 +97,45 @@
 }
 
 /**
- * What a request is told whose key this entry has open: nothing new is begun for it.
+ * Returns the outcome of a request whose key already has an open call on this entry.
  *
  * @example const outcome = joinOpenCall(open.progress, call);
  */
 export function joinOpenCall(open: CallProgress, call: OnceCall): OnceOutcome {
-  if (!isSameCall(call, open.call)) return failed(createFailure('keyReused'));
-  if (open.phase.kind !== 'settling') return inProgress();
+  if (!isSameCall(call, open.call)) return failCall(createFailure('keyReused'));
+  if (open.phase.kind !== 'settling') return failInProgress();
   const { state } = open.phase;
   switch (state.kind) {
     case 'claimed':
-      return inProgress();
+      return failInProgress();
     case 'notRun': {
       const reason = 'an earlier claim of this key is not settled yet';
-      return failed(createFailure('recordUnavailable', { reason }, UNAVAILABLE_RETRY_MS));
+      return failCall(createFailure('recordUnavailable', { reason }, UNAVAILABLE_RETRY_MS));
     }
     case 'answered':
     case 'answerTooLarge':
     case 'unknown':
-      return replaySettled(state);
+      return replayFinalState(state);
   }
 }
 
-/** Whether a request asks for the very call that a key was used for before. */
-export function isSameCall(call: OnceCall, other: CallRecord | OnceCall): boolean {
+/** Whether `call` is the same request as the earlier one with its key. */
+export function isSameCall(call: OnceCall, earlier: CallRecord | OnceCall): boolean {
   return (
-    call.workspace === other.workspace &&
-    call.service === other.service &&
-    call.fingerprint === other.fingerprint
+    call.workspace === earlier.workspace &&
+    call.service === earlier.service &&
+    call.fingerprint === earlier.fingerprint
   );
 }
 
-function inProgress(): OnceOutcome {
-  return failed(createFailure('callInProgress', undefined, IN_PROGRESS_RETRY_MS));
+function failInProgress(): OnceOutcome {
+  return failCall(createFailure('callInProgress', undefined, IN_PROGRESS_RETRY_MS));
 }
 
-function failed(failure: Failure): OnceOutcome {
+function failCall(failure: Failure): OnceOutcome {
   return { kind: 'failed', failure };
 }
 
-function refuse(failure: Failure): RecordVerdict {
-  return { kind: 'answer', outcome: failed(failure) };
+function refuse(failure: Failure): RecordDecision {
+  return { kind: 'answer', outcome: failCall(failure) };
 }
--- a/src/controllers/calls/record.ts
+++ b/src/controllers/calls/record.ts
@@ -1,13 +1,13 @@
 /**
- * Building and reading call records.
+ * Creates, parses and encodes call records.
  */
 import type { CallRecord, StoredObject } from '../../objects/index.js';
 import { OBJECT_SCHEMAS } from '../../objects/index.js';
-import { MAX_KEPT_BODY_BYTES, MAX_KEPT_HEADER_CHARACTERS } from './constants.js';
+import { MAX_STORED_BODY_BYTES, MAX_STORED_HEADER_CHARACTERS } from './constants.js';
 import type { CallRecordState, Claimant } from './call-state.js';
 import type { OnceCall, StoredAnswer } from './types.js';
 
-/** What the record of `call` says in `state`. */
+/** Creates the record of `call` with `state`. */
 export function createRecord(
   call: OnceCall,
   claimant: Claimant,
@@ -23,17 +23,17 @@
   };
 }
 
-/** What stands in a stored record. */
+/** Parsed content of a stored record. */
 export type RecordContent =
   | { kind: 'record'; record: CallRecord }
-  /** Past the retention: the key was used, and its outcome is forgotten. */
+  /** The key was used, but the retention of its outcome has ended. */
   | { kind: 'expired' }
-  /** Not of a form that this version of the program knows. */
+  /** Does not match the schema of this version of the program. */
   | { kind: 'invalid' };
 
-/** Reads a stored record. */
+/** Parses a stored record. */
 export function readRecord(stored: StoredObject): RecordContent {
-  // Only the collection of records past the retention deletes.
+  // Records are deleted only after their retention has ended.
   if (stored.deleted) return { kind: 'expired' };
   const parsed = OBJECT_SCHEMAS['call-record'].safeParse(stored.value);
   if (!parsed.success) return { kind: 'invalid' };
@@ -41,8 +41,8 @@
 }
 
 /**
- * The record state that keeps `answer`. An answer too large for the platform is not kept in part:
- * the state says only that the call was answered, so that a replay is refused, never cut short.
+ * Encodes `answer` as a record state. A response that exceeds the size limits is not stored, only
+ * its status, so that a replay is rejected instead of truncated.
  */
 export function encodeAnswer(answer: StoredAnswer): CallRecordState {
   const headers = answer.headers.map(({ name, value }) => ({ name, value }));
@@ -51,14 +51,14 @@
     0,
   );
   const fits =
-    answer.body.byteLength <= MAX_KEPT_BODY_BYTES && characters <= MAX_KEPT_HEADER_CHARACTERS;
+    answer.body.byteLength <= MAX_STORED_BODY_BYTES && characters <= MAX_STORED_HEADER_CHARACTERS;
   if (!fits) return { kind: 'answerTooLarge', status: answer.status };
 
   const body = Buffer.from(answer.body).toString('base64');
   return { kind: 'answered', status: answer.status, headers, body };
 }
 
-/** The answer that a record keeps, byte for byte as it was given. */
+/** Decodes the stored response; its body is byte-identical to the original. */
 export function decodeAnswer(state: Extract<CallRecordState, { kind: 'answered' }>): StoredAnswer {
   const body = new Uint8Array(Buffer.from(state.body, 'base64'));
   return { status: state.status, headers: state.headers, body };
--- a/src/controllers/calls/step.ts
+++ b/src/controllers/calls/step.ts
@@ -1,20 +1,19 @@
 /**
- * The state machine behind one call that may run only once.
+ * State machine for one at-most-once call.
  *
- * A record, created in the platform only if absent, decides who may send the call. The guards:
+ * A record in the platform, created only if absent, decides which entry may send the call:
  *
- * - A call is sent only in the step that learns that its own claim stands. Another entry that
- *   repeats the key meets the record and never sends it: no second run.
- * - A claim whose fate is unknown (the platform's answer is lost, or the platform is down) is never
- *   sent, whatever is learnt later: its caller has been told that the request was not run. Such a
- *   claim may still take effect late, and would then block the key. So its claimant settles it:
- *   `notRun` is written under the claim's own condition. If that write wins, the late claim fails
- *   its condition for ever; if it loses to the claim, it is repeated on the claim's version.
- * - Only its claimant, which alone knows whether it sent the call, turns a claim into `notRun`.
- *   Any other entry may turn a lost entry's claim into `unknown` and into nothing else: had it
- *   been freed, a claimant that is merely paused or cut off could still run it beside the next.
- * - Every write is conditional on the version seen and carries a nonce, so a write that took
- *   effect though its answer was lost is recognised instead of being taken for a rival's.
+ * - A call is sent only in the transition that confirms this entry's own claim. Any other entry
+ *   that receives the same key finds the record and doesn't send the call.
+ * - A call is never sent if the result of its claim is unknown, because the caller has been told
+ *   that it was not run. The claim may still take effect later and block the key, so the claimant
+ *   writes `notRun` on the same condition. Either that write succeeds and the late claim conflicts,
+ *   or the claim took effect first and `notRun` is written on the claim's version.
+ * - Only the claimant may replace a claim by `notRun`, as only it knows whether it sent the call.
+ *   Other entries may only replace the claim of a lost entry by `unknown`. If they released the
+ *   key, a claimant that is merely paused or partitioned could run the call a second time.
+ * - Every write is conditional on a version and carries a nonce, which identifies a write that took
+ *   effect although its response was lost.
  */
 import { createFailure } from '../../core/errors/index.js';
 import { UNAVAILABLE_RETRY_MS } from './constants.js';
@@ -27,105 +26,116 @@
   WriteEvent,
 } from './call-state.js';
 import { encodeAnswer } from './record.js';
-import { stepClaim, stepGiveUp } from './claim-results.js';
+import { handleClaimResult, handleGiveUpResult } from './claim-results.js';
 import {
-  ABSENT,
-  answer,
-  answerFailure,
-  claim,
-  end,
-  join,
-  settle,
-  settled,
-  stay,
-  writeSettlement,
+  ABSENT_VERSION,
+  answerCaller,
+  answerWithFailure,
+  concatenateSteps,
+  createSettlementWrite,
+  endCall,
+  endSettled,
+  keepState,
+  settleRecord,
+  writeClaim,
   type Phase,
 } from './transitions.js';
 import type { OnceCall, OnceOutcome, SendOutcome } from './types.js';
 
 /**
- * Begins a call whose key this entry has not open: claims its record.
+ * Starts a call by claiming its record. The key must not have an open call on this entry.
  *
- * @example const { progress, actions } = beginCall(nameRecord(call), call, facts);
+ * @example const { progress, actions } = beginCall(nameRecord(call), call, context);
  */
-export function beginCall(name: string, call: OnceCall, facts: CallFacts): CallStep {
+export function beginCall(name: string, call: OnceCall, context: CallFacts): CallStep {
   const progress: CallProgress = { name, call, phase: { kind: 'ended' }, answered: false };
-  return claim(progress, ABSENT, facts);
+  return writeClaim(progress, ABSENT_VERSION, context);
 }
 
 /**
- * The next state of a call and what is to be done.
+ * Returns the next state of a call and the actions to perform.
  *
- * @example const { progress, actions } = stepCall(before, { kind: 'retryDue' }, facts);
+ * @example const { progress, actions } = stepCall(before, { kind: 'retryDue' }, context);
  */
-export function stepCall(progress: CallProgress, event: CallEvent, facts: CallFacts): CallStep {
+export function stepCall(progress: CallProgress, event: CallEvent, context: CallFacts): CallStep {
   switch (event.kind) {
     case 'written':
     case 'conflict':
     case 'writeFailed':
-      return stepWrite(progress, event, facts);
+      return handleWriteResult(progress, event, context);
     case 'sendEnded':
-      return stepSendEnded(progress, event.outcome, facts);
+      return handleSendEnded(progress, event.outcome, context);
     case 'retryDue':
-      return stepRetry(progress, facts);
+      return handleRetryDue(progress, context);
     case 'deadlinePassed':
-      return stepDeadline(progress);
+      return handleDeadlinePassed(progress);
   }
 }
 
-function stepWrite(progress: CallProgress, event: WriteEvent, facts: CallFacts): CallStep {
+function handleWriteResult(
+  progress: CallProgress,
+  event: WriteEvent,
+  context: CallFacts,
+): CallStep {
   const { phase } = progress;
-  if (phase.kind === 'ended' || phase.nonce !== event.nonce) return stay(progress);
+  if (phase.kind === 'ended' || phase.nonce !== event.nonce) return keepState(progress);
   switch (phase.kind) {
     case 'claiming':
-      return stepClaim(progress, phase, event, facts);
+      return handleClaimResult(progress, phase, event, context);
     case 'settling':
-      return stepSettle(progress, phase, event, facts);
+      return handleSettlementResult(progress, phase, event, context);
     case 'givingUp':
-      return stepGiveUp(progress, phase, event, facts);
+      return handleGiveUpResult(progress, phase, event, context);
     case 'sending':
-      return stay(progress);
+      return keepState(progress);
   }
 }
 
-function stepSettle(
+function handleSettlementResult(
   progress: CallProgress,
   phase: Phase<'settling'>,
   event: WriteEvent,
-  facts: CallFacts,
+  context: CallFacts,
 ): CallStep {
   switch (event.kind) {
     case 'written':
-      return settled(progress, event.version);
+      return endSettled(progress, event.version);
     case 'writeFailed':
       return { progress, actions: [{ kind: 'retryLater' }] };
     case 'conflict': {
       const { current } = event;
-      if (current?.nonce === phase.nonce) return settled(progress, current.version);
-      // The abandoned claim took effect after all: it is settled on its own version.
+      if (current?.nonce === phase.nonce) return endSettled(progress, current.version);
+      // The abandoned claim took effect late, so the settlement is based on its version.
       if (current?.nonce === phase.claimNonce) {
-        return settle(progress, phase.claimNonce, current.version, phase.state, facts);
+        return settleRecord(progress, phase.claimNonce, current.version, phase.state, context);
       }
-      // Another entry's write stands, so the version that a late claim needs is gone for good.
-      return end(progress);
+      // Another entry has written the record, so a late claim can no longer meet its condition.
+      return endCall(progress);
     }
   }
 }
 
-function stepSendEnded(progress: CallProgress, outcome: SendOutcome, facts: CallFacts): CallStep {
+function handleSendEnded(
+  progress: CallProgress,
+  outcome: SendOutcome,
+  context: CallFacts,
+): CallStep {
   const { phase } = progress;
-  if (phase.kind !== 'sending') return stay(progress);
-  const answered = answer(progress, concludeSend(outcome));
-  const state = stateAfterSend(outcome);
-  return join(answered, settle(answered.progress, phase.nonce, phase.version, state, facts));
+  if (phase.kind !== 'sending') return keepState(progress);
+  const answered = answerCaller(progress, toOnceOutcome(outcome));
+  const state = toRecordState(outcome);
+  return concatenateSteps(
+    answered,
+    settleRecord(answered.progress, phase.nonce, phase.version, state, context),
+  );
 }
 
-function concludeSend(outcome: SendOutcome): OnceOutcome {
+function toOnceOutcome(outcome: SendOutcome): OnceOutcome {
   if (outcome.kind === 'answered') return { ...outcome, replayed: false };
   return { kind: 'failed', failure: outcome.failure };
 }
 
-function stateAfterSend(outcome: SendOutcome): CallRecordState {
+function toRecordState(outcome: SendOutcome): CallRecordState {
   switch (outcome.kind) {
     case 'answered':
       return encodeAnswer(outcome.answer);
@@ -136,25 +146,25 @@
   }
 }
 
-function stepRetry(progress: CallProgress, facts: CallFacts): CallStep {
+function handleRetryDue(progress: CallProgress, context: CallFacts): CallStep {
   const { phase } = progress;
-  if (phase.kind !== 'settling') return stay(progress);
-  return { progress, actions: [writeSettlement(progress, phase, facts)] };
+  if (phase.kind !== 'settling') return keepState(progress);
+  return { progress, actions: [createSettlementWrite(progress, phase, context)] };
 }
 
-function stepDeadline(progress: CallProgress): CallStep {
+function handleDeadlinePassed(progress: CallProgress): CallStep {
   switch (progress.phase.kind) {
     case 'claiming':
-      return answerFailure(progress, createFailure('deadlineBeforeStart'));
+      return answerWithFailure(progress, createFailure('deadlineBeforeStart'));
     case 'sending':
-      return answerFailure(progress, createFailure('deadlineAfterStart'));
+      return answerWithFailure(progress, createFailure('deadlineAfterStart'));
     case 'givingUp':
-      return answerFailure(
+      return answerWithFailure(
         progress,
         createFailure('callInProgress', undefined, UNAVAILABLE_RETRY_MS),
       );
     case 'settling':
     case 'ended':
-      return stay(progress);
+      return keepState(progress);
   }
 }
--- a/src/controllers/calls/transitions.ts
+++ b/src/controllers/calls/transitions.ts
@@ -1,5 +1,5 @@
 /**
- * The moves that the steps of a call are made of: claim, settle, answer, end.
+ * Basic transitions of the call state machine: claim, settle, answer and end.
  */
 import type { Failure } from '../../core/errors/index.js';
 import type {
@@ -13,15 +13,15 @@
 import { createRecord } from './record.js';
 import type { OnceOutcome } from './types.js';
 
-/** `expected` of a write that creates its object. */
-export const ABSENT = 0;
+/** Expected version of a write that creates its object. */
+export const ABSENT_VERSION = 0;
 
 export type Phase<Kind extends CallPhase['kind']> = Extract<CallPhase, { kind: Kind }>;
 
-/** Writes a claim on the version `expected`. */
-export function claim(progress: CallProgress, expected: number, facts: CallFacts): CallStep {
-  const nonce = facts.createNonce();
-  const value = createRecord(progress.call, facts.claimant, { kind: 'claimed' });
+/** Writes a claim on condition that the record has the version `expected`. */
+export function writeClaim(progress: CallProgress, expected: number, context: CallFacts): CallStep {
+  const nonce = context.createNonce();
+  const value = createRecord(progress.call, context.claimant, { kind: 'claimed' });
   const write = { kind: 'call-record', name: progress.name, expected, nonce, value } as const;
   return {
     progress: { ...progress, phase: { kind: 'claiming', nonce, expected } },
@@ -29,60 +29,63 @@
   };
 }
 
-/** Writes what the record is to say from now on, on the version of the claim. */
-export function settle(
+/** Writes the final `state` on condition that the record has the version `expected`. */
+export function settleRecord(
   progress: CallProgress,
   claimNonce: string,
   expected: number,
   state: CallRecordState,
-  facts: CallFacts,
+  context: CallFacts,
 ): CallStep {
-  const nonce = facts.createNonce();
+  const nonce = context.createNonce();
   const phase: Phase<'settling'> = { kind: 'settling', nonce, claimNonce, expected, state };
-  return { progress: { ...progress, phase }, actions: [writeSettlement(progress, phase, facts)] };
+  return {
+    progress: { ...progress, phase },
+    actions: [createSettlementWrite(progress, phase, context)],
+  };
 }
 
-/** The write of a settlement, the same one each time it is tried. */
-export function writeSettlement(
+/** Creates the settlement write; identical for each attempt. */
+export function createSettlementWrite(
   { name, call }: CallProgress,
   { nonce, expected, state }: Phase<'settling'>,
-  facts: CallFacts,
+  context: CallFacts,
 ): CallAction {
-  const value = createRecord(call, facts.claimant, state);
+  const value = createRecord(call, context.claimant, state);
   const write = { kind: 'call-record', name, expected, nonce, value } as const;
   return { kind: 'write', write, urgency: 'settlement' };
 }
 
-/** The record stands. */
-export function settled(progress: CallProgress, version: number): CallStep {
+/** Ends the call after its record has been settled at `version`. */
+export function endSettled(progress: CallProgress, version: number): CallStep {
   return {
     progress: { ...progress, phase: { kind: 'ended' } },
     actions: [{ kind: 'settled', version }],
   };
 }
 
-/** Answers the caller, unless that is done already. */
-export function answer(progress: CallProgress, outcome: OnceOutcome): CallStep {
-  if (progress.answered) return stay(progress);
+/** Answers the caller unless it has been answered already. */
+export function answerCaller(progress: CallProgress, outcome: OnceOutcome): CallStep {
+  if (progress.answered) return keepState(progress);
   return { progress: { ...progress, answered: true }, actions: [{ kind: 'answer', outcome }] };
 }
 
-/** Answers the caller with `failure`, unless that is done already. */
-export function answerFailure(progress: CallProgress, failure: Failure): CallStep {
-  return answer(progress, { kind: 'failed', failure });
+/** Answers the caller with `failure` unless it has been answered already. */
+export function answerWithFailure(progress: CallProgress, failure: Failure): CallStep {
+  return answerCaller(progress, { kind: 'failed', failure });
 }
 
-/** Nothing is left to do. */
-export function end(progress: CallProgress): CallStep {
+/** Ends the call without further actions. */
+export function endCall(progress: CallProgress): CallStep {
   return { progress: { ...progress, phase: { kind: 'ended' } }, actions: [] };
 }
 
-/** Nothing follows from the event. */
-export function stay(progress: CallProgress): CallStep {
+/** Leaves the state unchanged. */
+export function keepState(progress: CallProgress): CallStep {
   return { progress, actions: [] };
 }
 
-/** Two moves, one after the other. */
-export function join(first: CallStep, second: CallStep): CallStep {
+/** Combines two consecutive transitions. */
+export function concatenateSteps(first: CallStep, second: CallStep): CallStep {
   return { progress: second.progress, actions: [...first.actions, ...second.actions] };
 }
--- a/src/controllers/calls/types.ts
+++ b/src/controllers/calls/types.ts
@@ -1,5 +1,5 @@
 /**
- * The messages of calls that may run only once.
+ * Requests and outcomes of at-most-once calls.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Failure } from '../../core/errors/index.js';
@@ -9,38 +9,38 @@
   value: string;
 }
 
-/** A stored or fresh answer of a plain service, whole. */
+/** The complete response of a service, either fresh or read from a call record. */
 export interface StoredAnswer {
   status: number;
   headers: readonly HeaderField[];
   body: Uint8Array;
 }
 
-/** Which call it is. */
+/** Identifies a call and its caller's deadline. */
 export interface OnceCall {
   workspace: string;
   service: string;
-  /** The caller's Idempotency-Key. */
+  /** Value of the caller's Idempotency-Key header. */
   key: string;
-  /** Hash of method, path and body. */
+  /** Hash of the request's method, path and body. */
   fingerprint: string;
-  /** When the caller is given up, by this process's clock; absent for never. */
+  /** Deadline of the caller on this process's clock; absent if there is none. */
   deadlineAt?: Milliseconds;
 }
 
-/** How the one sending ended. */
+/** Result of sending the call to a backend server. */
 export type SendOutcome =
   | { kind: 'answered'; answer: StoredAnswer }
-  /** Proved not to have reached any backend server. */
+  /** The call is known not to have reached any backend server. */
   | { kind: 'notRun'; failure: Failure }
   | { kind: 'unknown'; failure: Failure };
 
-/** What the caller gets. */
+/** Final result for the caller. */
 export type OnceOutcome =
   | { kind: 'answered'; answer: StoredAnswer; replayed: boolean }
   | { kind: 'failed'; failure: Failure };
 
-/** Runs a call at most once over all entries. `send` is called at most once for each `run`. */
+/** Runs each call at most once across all entries. Each `run` calls `send` at most once. */
 export interface OnceCalls {
   run(call: OnceCall, send: () => Promise<SendOutcome>): Promise<OnceOutcome>;
 }
