--- a/features/calls/fake-platform.ts
+++ b/features/calls/fake-platform.ts
@@ -1,5 +1,5 @@
 /**
- * A platform in the test's own process, with one link to each entry that can be made to fail.
+ * In-process fake of the platform with a link per entry that supports fault injection.
  */
 import { err, ok, ResultAsync, type Result } from 'neverthrow';
 import type {
@@ -11,30 +11,30 @@
 import { createFailure } from '../../src/core/errors/index.js';
 import type { StoredObject } from '../../src/objects/index.js';
 
-/** What becomes of the write calls of one entry. */
+/** Fault applied to the write calls of one entry. */
 export type LinkFault =
   | 'none'
-  /** Refused, without effect. */
+  /** Calls fail without taking effect. */
   | 'outage'
-  /** In effect, and the answer is lost. */
+  /** Writes take effect, but the response is lost. */
   | 'answersLost'
-  /** The answer is lost, and the write takes effect when `land` is called. */
+  /** The response is lost; writes take effect when `deliverLateWrites` is called. */
   | 'late'
-  /** No answer comes until `release` is called; then as with `none`. */
+  /** Calls are held until `releaseHeld` is called, then processed as with `none`. */
   | 'held'
-  /** In effect at once, and the answer comes when `release` is called. */
+  /** Writes take effect at once; the response is held until `releaseHeld` is called. */
   | 'answersHeld';
 
 export interface Link {
   platform: Platform;
   fault: LinkFault;
-  land(): void;
-  release(): void;
-  /** Writes that wait for `land` or `release`. */
-  waiting(): number;
+  deliverLateWrites(): void;
+  releaseHeld(): void;
+  /** Number of calls that wait for `deliverLateWrites` or `releaseHeld`. */
+  pendingCount(): number;
 }
 
-/** The objects, their versions, and the calls that were made. */
+/** Stores versioned objects and counts the calls. */
 export class FakePlatform {
   readonly objects = new Map<string, StoredObject>();
   calls = 0;
@@ -53,27 +53,27 @@
   }
 
   connect(): Link {
-    const late: (() => void)[] = [];
-    const held: (() => void)[] = [];
+    const lateWrites: (() => void)[] = [];
+    const heldCalls: (() => void)[] = [];
     const link: Link = {
       fault: 'none',
-      land: () => {
-        for (const landing of late.splice(0)) landing();
+      deliverLateWrites: () => {
+        for (const deliver of lateWrites.splice(0)) deliver();
       },
-      release: () => {
-        for (const release of held.splice(0)) release();
+      releaseHeld: () => {
+        for (const release of heldCalls.splice(0)) release();
       },
-      waiting: () => late.length + held.length,
+      pendingCount: () => lateWrites.length + heldCalls.length,
       platform: {
         onReturn: () => () => undefined,
-        list: () => unavailable(),
-        watch: () => unavailable(),
+        list: () => failUnavailable(),
+        watch: () => failUnavailable(),
         read: (kind, name) => this.#read(link, `${kind}/${name}`),
         write: (write) =>
-          new ResultAsync(this.#call(link, [write], late, held)).andThen(([outcome]) =>
+          new ResultAsync(this.#call(link, [write], lateWrites, heldCalls)).andThen(([outcome]) =>
             outcome ? ok(outcome) : err(createFailure('platformUnavailable', { reason: 'none' })),
           ),
-        writeBatch: (writes) => new ResultAsync(this.#call(link, writes, late, held)),
+        writeBatch: (writes) => new ResultAsync(this.#call(link, writes, lateWrites, heldCalls)),
       },
     };
     return link;
@@ -82,14 +82,14 @@
   #read(link: Link, id: string): ResultAsync<StoredObject | undefined, PlatformFailure> {
     this.calls += 1;
     if (link.fault === 'none') return new ResultAsync(Promise.resolve(ok(this.objects.get(id))));
-    return unavailable();
+    return failUnavailable();
   }
 
   async #call(
     link: Link,
     writes: readonly PlatformWrite[],
-    late: (() => void)[],
-    held: (() => void)[],
+    lateWrites: (() => void)[],
+    heldCalls: (() => void)[],
   ): Promise<Result<WriteOutcome[], PlatformFailure>> {
     this.calls += 1;
     const apply = (): WriteOutcome[] => writes.map((write) => this.apply(write));
@@ -98,31 +98,31 @@
       case 'none':
         return ok(apply());
       case 'outage':
-        return unavailable();
+        return failUnavailable();
       case 'answersLost':
         apply();
-        return lost();
+        return loseAnswer();
       case 'late':
-        late.push(apply);
-        return lost();
+        lateWrites.push(apply);
+        return loseAnswer();
       case 'held':
-        await new Promise<void>((resolve) => held.push(resolve));
+        await new Promise<void>((resolve) => heldCalls.push(resolve));
         return ok(apply());
       case 'answersHeld': {
         const outcomes = apply();
-        await new Promise<void>((resolve) => held.push(resolve));
+        await new Promise<void>((resolve) => heldCalls.push(resolve));
         return ok(outcomes);
       }
     }
   }
 }
 
-function unavailable(): ResultAsync<never, PlatformFailure> {
+function failUnavailable(): ResultAsync<never, PlatformFailure> {
   return new ResultAsync(
     Promise.resolve(err(createFailure('platformUnavailable', { reason: 'outage' }))),
   );
 }
 
-function lost(): Result<never, PlatformFailure> {
+function loseAnswer(): Result<never, PlatformFailure> {
   return err(createFailure('platformOutcomeUnknown', { reason: 'the answer is lost' }));
 }
--- a/features/calls/fixture.ts
+++ b/features/calls/fixture.ts
@@ -1,5 +1,5 @@
 /**
- * Several entries over one fake platform, and one fake backend server with a journal.
+ * Several entries on one fake platform, and a fake backend server that records its calls.
  */
 import { createHash } from 'node:crypto';
 import { createBoard, type Peer } from '../../src/board/index.js';
@@ -32,28 +32,28 @@
   context: EntryContext;
 }
 
-/** One request of a caller. */
+/** A caller's request and its result. */
 export interface FakeRequest {
   outcome: OnceOutcome | undefined;
-  /** How often the call was handed to the backend server for this request. */
-  runs: number;
+  /** Number of times the backend server executed the call for this request. */
+  executions: number;
 }
 
-/** How the backend server treats the next calls. */
+/** Behavior of the backend server for subsequent calls. */
 export type BackendMode = 'answers' | 'unreachable' | 'breaks' | 'throws' | 'holds';
 
-/** Everything of one scenario. */
+/** State of one scenario. */
 export class CallsFixture {
   readonly platform = new FakePlatform();
   readonly entries = new Map<string, FakeEntry>();
-  /** Keys in the order in which they ran. */
-  readonly journal: string[] = [];
+  /** Keys of the executed calls, in order of execution. */
+  readonly executedKeys: string[] = [];
   readonly requests: FakeRequest[] = [];
   backend: BackendMode = 'answers';
   answerBytes = 12;
   wallNow = WALL_START;
-  #skipped = 0;
-  #held: (() => void)[] = [];
+  #clockOffset = 0;
+  #heldCalls: (() => void)[] = [];
   readonly #clock = createSystemClock();
 
   startEntry(name: string, link: Link = this.platform.connect()): FakeEntry {
@@ -63,7 +63,7 @@
       settings: { calls: { unheardClaimMs: UNHEARD_CLAIM_MS } },
       board: writers,
       writers,
-      clock: { now: () => this.#clock.now() + this.#skipped },
+      clock: { now: () => this.#clock.now() + this.#clockOffset },
       random: createRandom(7),
       logger: silentLogger,
       platform: link.platform,
@@ -77,7 +77,7 @@
     return entry;
   }
 
-  /** Nothing that the entry does reaches the platform any more; it is given no requests. */
+  /** Simulates a crash: later writes of the entry never reach the platform. */
   killEntry(name: string): void {
     this.entry(name).link.fault = 'held';
   }
@@ -93,14 +93,14 @@
     peers.write(new Map(peers.read()).set(peer.name, peer as Peer));
   }
 
-  /** Lets monotonic time pass for every entry. */
-  skip(span: Milliseconds): void {
-    this.#skipped += span;
+  /** Advances the monotonic clock of every entry. */
+  advanceClock(span: Milliseconds): void {
+    this.#clockOffset += span;
   }
 
   request(entryName: string, key: string, body = 'issue', deadlineMs?: Milliseconds): FakeRequest {
     const entry = this.entry(entryName);
-    const request: FakeRequest = { outcome: undefined, runs: 0 };
+    const request: FakeRequest = { outcome: undefined, executions: 0 };
     this.requests.push(request);
     const call: OnceCall = {
       workspace: 'kebun',
@@ -110,7 +110,7 @@
       ...(deadlineMs !== undefined && { deadlineAt: entry.context.clock.now() + deadlineMs }),
     };
     void entry.calls
-      .run(call, () => this.#serve(request, key))
+      .run(call, () => this.#execute(request, key))
       .then((outcome) => {
         request.outcome = outcome;
       });
@@ -119,23 +119,24 @@
 
   releaseBackend(): void {
     this.backend = 'answers';
-    for (const release of this.#held.splice(0)) release();
+    for (const release of this.#heldCalls.splice(0)) release();
   }
 
-  async #serve(request: FakeRequest, key: string): Promise<SendOutcome> {
+  async #execute(request: FakeRequest, key: string): Promise<SendOutcome> {
     await Promise.resolve();
     if (this.backend === 'unreachable') {
       return { kind: 'notRun', failure: createFailure('noCapacity', { name: 'passes' }) };
     }
-    this.journal.push(key);
-    request.runs += 1;
+    this.executedKeys.push(key);
+    request.executions += 1;
     if (this.backend === 'throws') throw new Error('unexpected');
     if (this.backend === 'breaks') {
       const failure = createFailure('outcomeUnknown', { reason: 'the connection broke' });
       return { kind: 'unknown', failure };
     }
-    if (this.backend === 'holds') await new Promise<void>((resolve) => this.#held.push(resolve));
-    const body = new Uint8Array(this.answerBytes).fill(this.journal.length);
+    if (this.backend === 'holds')
+      await new Promise<void>((resolve) => this.#heldCalls.push(resolve));
+    const body = new Uint8Array(this.answerBytes).fill(this.executedKeys.length);
     const headers = [{ name: 'content-type', value: 'application/octet-stream' }];
     return { kind: 'answered', answer: { status: 201, headers, body } };
   }
--- a/features/calls/interleaving.ts
+++ b/features/calls/interleaving.ts
@@ -1,9 +1,7 @@
 /**
- * The state machine of several entries under an arbitrary order of events, drawn by fast-check.
+ * Runs the call state machine of several entries with a random order of events and faults.
  *
- * A draw picks one of the things that may happen next: a request arrives, a write takes effect, its
- * answer arrives or is lost, the backend server runs a call, an entry dies. What any entry takes for
- * lost is drawn as well: the guarantees may not depend on that judgement.
+ * Which claimants count as lost is random too, as the guarantees must not depend on that detection.
  */
 import type { PlatformWrite } from '../../src/adapters/platform/index.js';
 import {
@@ -25,14 +23,14 @@
 const ENTRIES = 3;
 const KEYS = 2;
 
-/** One request and what it led to. */
+/** A caller's request and its result. */
 export interface Request {
   key: string;
   outcome: OnceOutcome | undefined;
-  runs: number;
+  executions: number;
 }
 
-interface Open {
+interface OpenCall {
   progress: CallProgress;
   request: Request;
 }
@@ -40,109 +38,110 @@
 interface Entry {
   index: number;
   incarnation: number;
-  open: Map<string, Open>;
+  openCalls: Map<string, OpenCall>;
 }
 
-/** Where an event is delivered: lost when the entry has been started anew since. */
+/** Recipient of an event, which is dropped if the entry has restarted since. */
 interface Target {
   entry: Entry;
   incarnation: number;
   name: string;
 }
 
-/** Something under way that a draw may pick. */
-type UnderWay =
+/** An event that may be processed next. */
+type PendingEvent =
   | { kind: 'write'; write: PlatformWrite; target: Target }
-  /** Given up by its entry, and may still take effect. */
+  /** Abandoned by its entry, but may still take effect. */
   | { kind: 'lateWrite'; write: PlatformWrite }
   | { kind: 'send'; request: Request; target: Target }
   | { kind: 'sendEnd'; outcome: SendOutcome; target: Target }
   | { kind: 'retry'; target: Target };
 
-/** Picks a number below the bound. */
+/** Returns a random integer from 0 up to but excluding `bound`. */
 export type Draw = (bound: number) => number;
 
 export interface Options {
-  /** Entries may die, and be taken for lost. */
-  losses: boolean;
+  /** Whether entries may restart and live claimants may be considered lost. */
+  entryFailures: boolean;
 }
 
 export class Interleaving {
   readonly requests: Request[] = [];
-  readonly journal: string[] = [];
+  readonly executedKeys: string[] = [];
   readonly #platform = new FakePlatform();
   readonly #entries: Entry[] = [];
   readonly #options: Options;
-  #underWay: UnderWay[] = [];
+  #pendingEvents: PendingEvent[] = [];
   #nonces = 0;
   #draw: Draw = () => 0;
 
   constructor(options: Options) {
     this.#options = options;
     for (let index = 0; index < ENTRIES; index += 1) {
-      this.#entries.push({ index, incarnation: 0, open: new Map() });
+      this.#entries.push({ index, incarnation: 0, openCalls: new Map() });
     }
   }
 
-  /** Lets one drawn thing happen. */
-  step(draw: Draw): void {
+  /** Runs one randomly chosen event. */
+  runRandomEvent(draw: Draw): void {
     this.#draw = draw;
     const choice = draw(10);
     if (choice === 0) this.request(draw(ENTRIES), `k${draw(KEYS)}`);
-    else if (choice === 1 && this.#options.losses && draw(4) === 0) this.#kill(draw(ENTRIES));
+    else if (choice === 1 && this.#options.entryFailures && draw(4) === 0)
+      this.#restartEntry(draw(ENTRIES));
     else if (choice === 2) this.#passDeadline(draw(ENTRIES), draw(KEYS));
-    else this.#advance(draw);
+    else this.#processRandomEvent(draw);
   }
 
-  /** Ends all faults: everything under way arrives, until nothing is left to happen. */
-  heal(): void {
-    while (this.#underWay.length > 0) this.#happen(this.#take(0), () => 0);
+  /** Processes all pending events without further faults until none is left. */
+  runPendingEvents(): void {
+    while (this.#pendingEvents.length > 0) this.#process(this.#takeEvent(0), () => 0);
   }
 
   request(entryIndex: number, key: string): Request {
     const entry = this.#entry(entryIndex);
     const call: OnceCall = { workspace: 'w', service: 's', key, fingerprint: 'f' };
-    const request: Request = { key, outcome: undefined, runs: 0 };
+    const request: Request = { key, outcome: undefined, executions: 0 };
     this.requests.push(request);
     const name = nameRecord(call);
-    const before = entry.open.get(name);
-    if (before) {
-      request.outcome = joinOpenCall(before.progress, call);
+    const openCall = entry.openCalls.get(name);
+    if (openCall) {
+      request.outcome = joinOpenCall(openCall.progress, call);
       return request;
     }
-    const step = beginCall(name, call, this.#facts(entry));
+    const step = beginCall(name, call, this.#createContext(entry));
     const open = { progress: step.progress, request };
-    entry.open.set(name, open);
-    this.#perform(entry, open, step);
+    entry.openCalls.set(name, open);
+    this.#applyStep(entry, open, step);
     return request;
   }
 
-  #advance(draw: Draw): void {
-    if (this.#underWay.length === 0) return;
-    this.#happen(this.#take(draw(this.#underWay.length)), draw);
+  #processRandomEvent(draw: Draw): void {
+    if (this.#pendingEvents.length === 0) return;
+    this.#process(this.#takeEvent(draw(this.#pendingEvents.length)), draw);
   }
 
-  #happen(what: UnderWay, draw: Draw): void {
-    switch (what.kind) {
+  #process(event: PendingEvent, draw: Draw): void {
+    switch (event.kind) {
       case 'write':
-        this.#write(what.write, what.target, draw(7));
+        this.#write(event.write, event.target, draw(7));
         return;
       case 'lateWrite':
-        this.#platform.apply(what.write);
+        this.#platform.apply(event.write);
         return;
       case 'send':
-        this.#serve(what.request, what.target, draw(4));
+        this.#execute(event.request, event.target, draw(4));
         return;
       case 'sendEnd':
-        this.#deliver(what.target, { kind: 'sendEnded', outcome: what.outcome });
+        this.#deliver(event.target, { kind: 'sendEnded', outcome: event.outcome });
         return;
       case 'retry':
-        this.#deliver(what.target, { kind: 'retryDue' });
+        this.#deliver(event.target, { kind: 'retryDue' });
         return;
     }
   }
 
-  /** Draws 0 to 2 are good, so that most runs get somewhere. */
+  /** Draws 0 to 2 succeed, so that most runs make progress. */
   #write(write: PlatformWrite, target: Target, draw: number): void {
     const { nonce } = write;
     const failed = (left: boolean): void => {
@@ -156,13 +155,13 @@
         failed(true);
         return;
       case 4:
-        this.#underWay.push({ kind: 'lateWrite', write });
+        this.#pendingEvents.push({ kind: 'lateWrite', write });
         failed(true);
         return;
       case 5:
         failed(false);
         return;
-      // Sent twice by the client, of which the first answer is lost.
+      // The client retries the write after its first response was lost.
       case 6:
         this.#platform.apply(write);
         this.#answerWrite(write, target);
@@ -182,30 +181,30 @@
     this.#deliver(target, event);
   }
 
-  #serve(request: Request, target: Target, draw: number): void {
+  #execute(request: Request, target: Target, draw: number): void {
     const unknown: SendOutcome = {
       kind: 'unknown',
       failure: createFailure('outcomeUnknown', { reason: 'cut' }),
     };
     if (draw === 2) {
       const failure = createFailure('noCapacity', { name: 's' });
-      this.#underWay.push({ kind: 'sendEnd', outcome: { kind: 'notRun', failure }, target });
+      this.#pendingEvents.push({ kind: 'sendEnd', outcome: { kind: 'notRun', failure }, target });
       return;
     }
-    request.runs += 1;
-    this.journal.push(request.key);
-    const body = new Uint8Array([this.journal.length, 1, 2]);
+    request.executions += 1;
+    this.executedKeys.push(request.key);
+    const body = new Uint8Array([this.executedKeys.length, 1, 2]);
     const answered: SendOutcome = { kind: 'answered', answer: { status: 201, headers: [], body } };
-    this.#underWay.push({ kind: 'sendEnd', outcome: draw === 3 ? unknown : answered, target });
+    this.#pendingEvents.push({ kind: 'sendEnd', outcome: draw === 3 ? unknown : answered, target });
   }
 
-  #kill(index: number): void {
+  #restartEntry(index: number): void {
     const entry = this.#entry(index);
     entry.incarnation += 1;
-    for (const open of entry.open.values()) {
+    for (const open of entry.openCalls.values()) {
       open.request.outcome ??= { kind: 'failed', failure: createFailure('callerGone') };
     }
-    entry.open.clear();
+    entry.openCalls.clear();
   }
 
   #passDeadline(index: number, key: number): void {
@@ -216,28 +215,28 @@
   }
 
   #deliver({ entry, incarnation, name }: Target, event: CallEvent): void {
-    const open = entry.open.get(name);
+    const open = entry.openCalls.get(name);
     if (!open || entry.incarnation !== incarnation) return;
-    this.#perform(entry, open, stepCall(open.progress, event, this.#facts(entry)));
+    this.#applyStep(entry, open, stepCall(open.progress, event, this.#createContext(entry)));
   }
 
-  #perform(entry: Entry, open: Open, step: CallStep): void {
+  #applyStep(entry: Entry, open: OpenCall, step: CallStep): void {
     open.progress = step.progress;
     for (const action of step.actions) this.#performAction(entry, open, action);
-    if (step.progress.phase.kind === 'ended') entry.open.delete(step.progress.name);
+    if (step.progress.phase.kind === 'ended') entry.openCalls.delete(step.progress.name);
   }
 
-  #performAction(entry: Entry, { progress, request }: Open, action: CallAction): void {
+  #performAction(entry: Entry, { progress, request }: OpenCall, action: CallAction): void {
     const target = { entry, incarnation: entry.incarnation, name: progress.name };
     switch (action.kind) {
       case 'write':
-        this.#underWay.push({ kind: 'write', write: action.write, target });
+        this.#pendingEvents.push({ kind: 'write', write: action.write, target });
         return;
       case 'send':
-        this.#underWay.push({ kind: 'send', request, target });
+        this.#pendingEvents.push({ kind: 'send', request, target });
         return;
       case 'retryLater':
-        this.#underWay.push({ kind: 'retry', target });
+        this.#pendingEvents.push({ kind: 'retry', target });
         return;
       case 'answer':
         if (request.outcome) throw new Error('a request was answered twice');
@@ -248,34 +247,34 @@
     }
   }
 
-  #facts(entry: Entry): Parameters<typeof beginCall>[2] {
+  #createContext(entry: Entry): Parameters<typeof beginCall>[2] {
     return {
       now: 0,
       claimant: { entry: `e${entry.index}`, incarnation: `${entry.incarnation}` },
       createNonce: () => `n${(this.#nonces += 1)}`,
       isClaimantLost: (record) => {
         const claimant = this.#entries.find(({ index }) => `e${index}` === record.entry);
-        const gone = `${claimant?.incarnation}` !== record.incarnation;
-        return gone || (this.#options.losses && this.#draw(4) === 1);
+        const restarted = `${claimant?.incarnation}` !== record.incarnation;
+        return restarted || (this.#options.entryFailures && this.#draw(4) === 1);
       },
     };
   }
 
-  #take(index: number): UnderWay {
-    const [what] = this.#underWay.splice(index, 1);
-    if (!what) throw new Error('nothing is under way');
-    return what;
+  #takeEvent(index: number): PendingEvent {
+    const [event] = this.#pendingEvents.splice(index, 1);
+    if (!event) throw new Error('no event is pending');
+    return event;
   }
 
   #entry(index: number): Entry {
     const entry = this.#entries[index];
-    if (!entry) throw new Error(`no entry ${index}`);
+    if (!entry) throw new Error(`entry ${index} does not exist`);
     return entry;
   }
 }
 
-/** Whether the request was told that it was not run. */
-export function isToldNotRun({ outcome }: Request): boolean {
+/** Whether the caller was told that the request was not run. */
+export function wasReportedNotRun({ outcome }: Request): boolean {
   if (outcome?.kind !== 'failed') return false;
   const conclusion = concludeFailure(outcome.failure);
   return conclusion === 'notRun' || conclusion === 'refused';
--- a/features/calls/once-calls.steps.ts
+++ b/features/calls/once-calls.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of the scenarios on calls that may run only once.
+ * Steps of the scenarios for at-most-once calls.
  */
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
@@ -32,7 +32,7 @@
   this.onceCalls.releaseBackend();
   for (const { link, calls } of this.onceCalls.entries.values()) {
     link.fault = 'none';
-    link.release();
+    link.releaseHeld();
     await calls.stop();
   }
 });
@@ -59,7 +59,7 @@
     const { onceCalls } = this;
     onceCalls.backend = 'holds';
     onceCalls.request(name, key);
-    await waitFor('the call to run', () => onceCalls.journal.includes(key));
+    await waitFor('the call to run', () => onceCalls.executedKeys.includes(key));
     onceCalls.entry(name).link.fault = 'held';
     onceCalls.releaseBackend();
   },
@@ -70,20 +70,20 @@
 });
 
 When('the late writes of {string} arrive', function (this: CallsWorld, name: string) {
-  this.onceCalls.entry(name).link.land();
+  this.onceCalls.entry(name).link.deliverLateWrites();
 });
 
 When('the held writes of {string} arrive', async function (this: CallsWorld, name: string) {
   const { link } = this.onceCalls.entry(name);
-  await waitFor('a held write', () => link.waiting() > 0);
+  await waitFor('a held write', () => link.pendingCount() > 0);
   link.fault = 'none';
-  link.release();
+  link.releaseHeld();
 });
 
 When('the held answers to {string} arrive', function (this: CallsWorld, name: string) {
   const { link } = this.onceCalls.entry(name);
   link.fault = 'none';
-  link.release();
+  link.releaseHeld();
 });
 
 When(/^the platform goes down for once-calls$/, function (this: CallsWorld) {
@@ -94,7 +94,7 @@
   for (const { link } of this.onceCalls.entries.values()) link.fault = 'none';
 });
 
-const BACKEND_STEPS: Record<string, BackendMode> = {
+const BACKEND_MODE_STEPS: Record<string, BackendMode> = {
   'the backend server holds once-calls': 'holds',
   'no backend server takes once-calls': 'unreachable',
   'the backend server takes once-calls again': 'answers',
@@ -102,7 +102,7 @@
   'the backend server throws on once-calls': 'throws',
 };
 
-for (const [text, mode] of Object.entries(BACKEND_STEPS)) {
+for (const [text, mode] of Object.entries(BACKEND_MODE_STEPS)) {
   Given(text, function (this: CallsWorld) {
     this.onceCalls.backend = mode;
   });
@@ -131,7 +131,7 @@
   /^the call "([^"]*)" arrives (?:again )?at "([^"]*)"$/,
   async function (this: CallsWorld, key: string, name: string) {
     const request = this.onceCalls.request(name, key);
-    await settleStep(this.onceCalls, request);
+    await waitForProgress(this.onceCalls, request);
   },
 );
 
@@ -183,7 +183,7 @@
 When(
   'the call {string} has reached the backend server',
   async function (this: CallsWorld, key: string) {
-    await waitFor('the call to run', () => this.onceCalls.journal.includes(key));
+    await waitFor('the call to run', () => this.onceCalls.executedKeys.includes(key));
   },
 );
 
@@ -192,14 +192,14 @@
 });
 
 When(
-  '{string} hears of another start of {string}',
+  '{string} learns of a restart of {string}',
   function (this: CallsWorld, at: string, name: string) {
     this.onceCalls.setPeer(at, { name, incarnation: '2' });
   },
 );
 
 When('{int} seconds pass for once-calls', function (this: CallsWorld, seconds: number) {
-  this.onceCalls.skip(seconds * 1_000);
+  this.onceCalls.advanceClock(seconds * 1_000);
 });
 
 When('the record of {string} has been settled', async function (this: CallsWorld, key: string) {
@@ -242,21 +242,21 @@
 Then(
   'the call {string} has run {int} time(s)',
   function (this: CallsWorld, key: string, times: number) {
-    assert.equal(this.onceCalls.journal.filter((ran) => ran === key).length, times);
+    assert.equal(this.onceCalls.executedKeys.filter((ran) => ran === key).length, times);
   },
 );
 
 Then('no once-call has run', function (this: CallsWorld) {
-  assert.deepEqual(this.onceCalls.journal, []);
+  assert.deepEqual(this.onceCalls.executedKeys, []);
 });
 
 Then(
   'one of the two requests is answered and the other is told {string} or replayed',
   async function (this: CallsWorld, kind: string) {
     const outcomes = await Promise.all(this.onceCalls.requests.map(waitForOutcome));
-    const fresh = outcomes.filter((one) => one.kind === 'answered' && !one.replayed);
+    const fresh = outcomes.filter((outcome) => outcome.kind === 'answered' && !outcome.replayed);
     assert.equal(fresh.length, 1);
-    const [other] = outcomes.filter((one) => !fresh.includes(one));
+    const [other] = outcomes.filter((outcome) => !fresh.includes(outcome));
     assert.ok(other && (other.kind === 'answered' || other.failure.kind === kind));
   },
 );
@@ -270,7 +270,7 @@
 );
 
 Then(
-  /^the last once-request is told "([^"]*)"( with a time to come back)?$/,
+  /^the last once-request is told "([^"]*)"( with a retry delay)?$/,
   async function (this: CallsWorld, kind: string, withTime: string | null) {
     const request = this.onceCalls.requests.at(-1);
     const outcome = await waitForOutcome(request);
@@ -288,7 +288,7 @@
     for (const outcome of outcomes) {
       assert.ok(outcome.kind === 'failed' && outcome.failure.kind === kind);
     }
-    assert.ok(refused.every((request) => request.runs === 0));
+    assert.ok(refused.every((request) => request.executions === 0));
   },
 );
 
@@ -308,7 +308,7 @@
       const outcome = await waitForOutcome(this.onceCalls.request(name, key));
       return outcome.kind === 'answered';
     });
-    assert.equal(this.onceCalls.journal.filter((ran) => ran === key).length, times);
+    assert.equal(this.onceCalls.executedKeys.filter((ran) => ran === key).length, times);
   },
 );
 
@@ -316,11 +316,16 @@
   assert.equal(readState(this.onceCalls, key), state);
 });
 
-/** Waits until the request has its outcome, or has reached what holds it up. */
-async function settleStep(onceCalls: CallsFixture, request: FakeRequest): Promise<void> {
-  await waitFor('the request to go on', () => request.outcome !== undefined || request.runs > 0);
-  const mayRecord = [...onceCalls.entries.values()].every(({ link }) => link.fault === 'none');
-  if (request.outcome?.kind !== 'answered' || !mayRecord) return;
+/** Waits until the request has its outcome or runs on the backend server. */
+async function waitForProgress(onceCalls: CallsFixture, request: FakeRequest): Promise<void> {
+  await waitFor(
+    'the request to go on',
+    () => request.outcome !== undefined || request.executions > 0,
+  );
+  const platformReachable = [...onceCalls.entries.values()].every(
+    ({ link }) => link.fault === 'none',
+  );
+  if (request.outcome?.kind !== 'answered' || !platformReachable) return;
   await waitFor('the record', () => readStates(onceCalls).every((state) => state !== 'claimed'));
 }
 
--- a/features/calls/over-http.steps.ts
+++ b/features/calls/over-http.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of the scenarios in which call records are kept over HTTP.
+ * Steps of the scenarios that store call records over HTTP.
  */
 import { After, Given } from '@cucumber/cucumber';
 import { createPlatformClient, type PlatformClient } from '../../src/adapters/platform/index.js';
@@ -41,40 +41,40 @@
   });
   world.proxies.set(name, proxy);
   world.clients.push(client);
-  const none = (): void => undefined;
+  const noop = (): void => undefined;
   const link: Link = {
     platform: client,
     fault: 'none',
-    land: none,
-    release: none,
-    waiting: () => 0,
+    deliverLateWrites: noop,
+    releaseHeld: noop,
+    pendingCount: () => 0,
   };
   world.onceCalls.startEntry(name, link);
 }
 
-// Runs before the After of once-calls.steps.ts, whose entries need the platform to stop.
+// Runs before the hook in once-calls.steps.ts: entries can stop only while the platform runs.
 After(async function (this: Partial<HttpWorld>) {
   if (!this.platform || !this.onceCalls) return;
-  for (const proxy of this.proxies?.values() ?? []) await proxy.control(WHOLE);
+  for (const proxy of this.proxies?.values() ?? []) await proxy.control(HEALTHY_PROXY);
   await Promise.all([...this.onceCalls.entries.values()].map(({ calls }) => calls.stop()));
   for (const client of this.clients ?? []) await client.close();
   for (const proxy of this.proxies?.values() ?? []) await proxy.stop();
   await this.platform.stop();
 });
 
-const WHOLE: ProxyControl = { cut: 'none', release: true, holdNext: 0 };
+const HEALTHY_PROXY: ProxyControl = { cut: 'none', release: true, holdNext: 0 };
 
-Given('no answer of the platform comes back to {string}', async function (this: HttpWorld, name) {
+Given('responses of the platform to {string} are lost', async function (this: HttpWorld, name) {
   await this.proxies.get(String(name))?.control({ cut: 'toSource' });
 });
 
-Given('what {string} sends to the platform is held up', async function (this: HttpWorld, name) {
+Given('requests from {string} to the platform are held', async function (this: HttpWorld, name) {
   await this.proxies.get(String(name))?.control({ hold: 'toTarget', holdNext: 100 });
 });
 
 Given(
-  'the way between {string} and the platform is whole again',
+  'the connection between {string} and the platform works again',
   async function (this: HttpWorld, name) {
-    await this.proxies.get(String(name))?.control(WHOLE);
+    await this.proxies.get(String(name))?.control(HEALTHY_PROXY);
   },
 );
