--- a/features/calls/interleaving.ts
+++ b/features/calls/interleaving.ts
@@ -144,22 +144,22 @@
   /** Draws 0 to 2 succeed, so that most runs make progress. */
   #write(write: PlatformWrite, target: Target, draw: number): void {
     const { nonce } = write;
-    const failed = (left: boolean): void => {
-      const reason = left ? 'lost' : 'refused';
+    const reportFailure = (mayTakeEffect: boolean): void => {
+      const reason = mayTakeEffect ? 'lost' : 'refused';
       const failure = createFailure('platformOutcomeUnknown', { reason });
-      this.#deliver(target, { kind: 'writeFailed', nonce, failure, left });
+      this.#deliver(target, { kind: 'writeFailed', nonce, failure, left: mayTakeEffect });
     };
     switch (draw) {
       case 3:
         this.#platform.apply(write);
-        failed(true);
+        reportFailure(true);
         return;
       case 4:
         this.#pendingEvents.push({ kind: 'lateWrite', write });
-        failed(true);
+        reportFailure(true);
         return;
       case 5:
-        failed(false);
+        reportFailure(false);
         return;
       // The client retries the write after its first response was lost.
       case 6:
--- a/src/controllers/calls/call-state.ts
+++ b/src/controllers/calls/call-state.ts
@@ -19,7 +19,7 @@
 export type CallEvent =
   | { kind: 'written'; nonce: string; version: number }
   | { kind: 'conflict'; nonce: string; current: StoredObject | undefined }
-  /** `left` tells whether the write may have left this process and may still take effect. */
+  /** The flag tells whether the write may have left this process and may still take effect. */
   | { kind: 'writeFailed'; nonce: string; failure: Failure; left: boolean }
   | { kind: 'sendEnded'; outcome: SendOutcome }
   /** The backoff requested by `retryLater` has elapsed. */
