--- a/src/controllers/limits/entry-view.ts
+++ b/src/controllers/limits/entry-view.ts
@@ -13,7 +13,7 @@
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import { LIST_LAG_MS, LOAN_GUARD_MS, LOAN_MS, VIEW_GUARD_MS } from './constants.js';
-import { confirmList, isListKnown, type ListNews } from './list-news.js';
+import { confirmList, isListKnown, type ListNews } from './entry-list.js';
 import type { ShareOptions, ShareState } from './share-state.js';
 
 /**
