--- a/features/limits/limits.steps.ts
+++ b/features/limits/limits.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps for the split of fleet-wide limits and for admission, on manual time.
+ * Steps for sharing fleet-wide limits and for admission control, on manual time.
  */
 import assert from 'node:assert/strict';
 import { Given, Then, When, type IWorld } from '@cucumber/cucumber';
@@ -14,39 +14,39 @@
   type LimitState,
 } from '../../src/controllers/limits/index.js';
 import { createRandom, type Random } from '../../src/core/random/index.js';
-import { LIMITED, ShareFleet, TICK_MS, type Member } from './share-fleet.js';
+import { WORKSPACE, ShareFleet, TICK_MS, type Member } from './share-fleet.js';
 
 const OPTIONS = { mostEntries: 10, guaranteedFraction: 0.3, viewFreshMs: 10_000 };
-const CALM = { loss: 0, trouble: 0 };
-const ROUNDING = 1e-9;
-const SECOND = 1_000 / TICK_MS;
+const RELIABLE_NETWORK = { loss: 0, delayOrDuplicate: 0 };
+const ROUNDING_TOLERANCE = 1e-9;
+const TICKS_PER_SECOND = 1_000 / TICK_MS;
 const SEED = 20_261;
-/** After a change of demand, loans have moved in this time. */
-const LOAN_SECONDS = 10;
+/** Time for loans to adapt to a change of demand. */
+const REBALANCE_SECONDS = 10;
 
 interface LimitWorld extends IWorld {
   fleet: ShareFleet;
-  hot: Member;
-  mostSum: number;
-  leastSum: number;
-  asked: number;
-  refused: number;
+  observed: Member;
+  maxSum: number;
+  minSum: number;
+  totalDemand: number;
+  refusedDemand: number;
   limits: LimitState;
 }
 
-function run(world: LimitWorld, seconds: number): void {
-  for (let tick = 0; tick < seconds * SECOND; tick += 1) {
+function runFleet(world: LimitWorld, seconds: number): void {
+  for (let tick = 0; tick < seconds * TICKS_PER_SECOND; tick += 1) {
     world.fleet.tick();
-    world.mostSum = Math.max(
-      world.mostSum,
-      world.fleet.sum(),
-      world.fleet.sum('concurrentRequests'),
+    world.maxSum = Math.max(
+      world.maxSum,
+      world.fleet.totalShare(),
+      world.fleet.totalShare('concurrentRequests'),
     );
   }
 }
 
-/** One fault or recovery, chosen at random. Never more than `mostEntries` processes run. */
-function disturb(fleet: ShareFleet, random: Random): void {
+/** Applies a random fault or recovery. Never runs more than `mostEntries` processes. */
+function injectFault(fleet: ShareFleet, random: Random): void {
   const member = fleet.members[random.below(Math.max(1, fleet.members.length))];
   if (!member || random.fraction() < 0.1) {
     if (fleet.members.length < OPTIONS.mostEntries) fleet.start();
@@ -57,7 +57,7 @@
       fleet.kill(member);
       return;
     case 1:
-      // Dead to the platform, and alive all the same.
+      // The platform considers the entry dead, but it is still running.
       fleet.delist(member.name);
       return;
     case 2:
@@ -65,7 +65,7 @@
       fleet.start(member.name);
       return;
     case 3:
-      member.paused = !member.paused;
+      member.isPaused = !member.isPaused;
       return;
     case 4:
       member.cutFromList = !member.cutFromList;
@@ -74,7 +74,7 @@
       member.cutFromPeers = !member.cutFromPeers;
       return;
     case 6:
-      part(fleet, random);
+      togglePartition(fleet, random);
       return;
     case 7:
       fleet.isPlatformDown = !fleet.isPlatformDown;
@@ -84,115 +84,119 @@
   }
 }
 
-/** Ends a partition, or cuts some entries off from the platform and from the others. */
-function part(fleet: ShareFleet, random: Random): void {
-  const isParted = fleet.members.some((one) => one.isFar);
-  for (const member of fleet.members) member.isFar = !isParted && random.below(3) === 0;
+/** Ends a partition, or separates some entries from the platform and the others. */
+function togglePartition(fleet: ShareFleet, random: Random): void {
+  const hasPartition = fleet.members.some((member) => member.isPartitioned);
+  for (const member of fleet.members) member.isPartitioned = !hasPartition && random.below(3) === 0;
 }
 
-function playHistory(seed: number): number {
+function simulateHistory(seed: number): number {
   const random = createRandom(seed);
-  const network = { loss: random.fraction() / 2, trouble: random.fraction() };
-  // With a small or a large guaranteed part, a fault of either part shows in the sum.
+  const network = { loss: random.fraction() / 2, delayOrDuplicate: random.fraction() };
+  // A very small or very large guaranteed part makes faults of either part show in the sum.
   const guaranteedFraction = [0.01, 0.3, 0.95][random.below(3)] ?? 0;
   const fleet = new ShareFleet({ ...OPTIONS, guaranteedFraction }, network, random);
   const count = 2 + random.below(OPTIONS.mostEntries - 2);
   for (let started = 0; started < count; started += 1) fleet.start();
-  let most = 0;
-  for (let tick = 0; tick < 150 * SECOND; tick += 1) {
-    // Calm at first, so that shares are divided and lent before trouble begins.
-    if (tick > 25 * SECOND && random.below(4) === 0) disturb(fleet, random);
+  let max = 0;
+  for (let tick = 0; tick < 150 * TICKS_PER_SECOND; tick += 1) {
+    // Without faults at first, so that shares are divided and lent before they begin.
+    if (tick > 25 * TICKS_PER_SECOND && random.below(4) === 0) injectFault(fleet, random);
     fleet.tick();
-    most = Math.max(most, fleet.sum(), fleet.sum('concurrentRequests'));
+    max = Math.max(max, fleet.totalShare(), fleet.totalShare('concurrentRequests'));
   }
-  return most;
+  return max;
 }
 
 Given(
   '{int} histories of a fleet of entries with random faults',
   function (this: LimitWorld, histories: number) {
-    this.mostSum = 0;
+    this.maxSum = 0;
     const property = fc.property(fc.integer(), (seed) => {
-      const most = playHistory(seed);
-      this.mostSum = Math.max(this.mostSum, most);
-      return most <= 1 + ROUNDING;
+      const max = simulateHistory(seed);
+      this.maxSum = Math.max(this.maxSum, max);
+      return max <= 1 + ROUNDING_TOLERANCE;
     });
     fc.assert(property, { seed: SEED, numRuns: histories });
   },
 );
 
 Given('{int} entries that have split a limit', function (this: LimitWorld, count: number) {
-  this.mostSum = 0;
-  this.fleet = new ShareFleet(OPTIONS, CALM, createRandom(SEED));
-  for (let started = 0; started < count; started += 1) this.hot = this.fleet.start();
-  run(this, 30);
+  this.maxSum = 0;
+  this.fleet = new ShareFleet(OPTIONS, RELIABLE_NETWORK, createRandom(SEED));
+  for (let started = 0; started < count; started += 1) this.observed = this.fleet.start();
+  runFleet(this, 30);
 });
 
 Given(
   '{int} entries that have split a limit of which {float} is guaranteed',
   function (this: LimitWorld, count: number, guaranteedFraction: number) {
-    this.mostSum = 0;
-    this.fleet = new ShareFleet({ ...OPTIONS, guaranteedFraction }, CALM, createRandom(SEED));
-    for (let started = 0; started < count; started += 1) this.hot = this.fleet.start();
-    run(this, 30);
+    this.maxSum = 0;
+    this.fleet = new ShareFleet(
+      { ...OPTIONS, guaranteedFraction },
+      RELIABLE_NETWORK,
+      createRandom(SEED),
+    );
+    for (let started = 0; started < count; started += 1) this.observed = this.fleet.start();
+    runFleet(this, 30);
   },
 );
 
 When('all other entries restart under their names', function (this: LimitWorld) {
-  for (const member of this.fleet.members.filter((one) => one !== this.hot)) {
+  for (const member of this.fleet.members.filter((other) => other !== this.observed)) {
     this.fleet.kill(member);
     this.fleet.start(member.name);
   }
-  run(this, 5);
+  runFleet(this, 5);
 });
 
 When('a loan arrives that names an earlier start of the entry', function (this: LimitWorld) {
-  const { state, clockOffset, clockRate, name } = this.hot;
+  const { state, clockOffset, clockRate, name } = this.observed;
   const now = this.fleet.now * clockRate + clockOffset;
   state.lastStamp = now;
-  const loans = [{ workspace: LIMITED.name, fraction: 0.5 }];
+  const loans = [{ workspace: WORKSPACE.name, fraction: 0.5 }];
   const grant = { borrower: name, incarnation: 'earlier', askedAt: now - 1, loans };
   acceptGrant(state, 'lender', 'lender-1', 1, grant, now);
 });
 
 Then('the limit share of that entry has not grown', function (this: LimitWorld) {
-  const before = this.hot.share?.requestsPerSecond;
-  run(this, 0.25);
-  assert.equal(this.hot.share?.requestsPerSecond, before);
+  const before = this.observed.share?.requestsPerSecond;
+  runFleet(this, 0.25);
+  assert.equal(this.observed.share?.requestsPerSecond, before);
 });
 
 When(
   'one entry hears neither the platform nor its peers for {int} seconds',
   function (this: LimitWorld, seconds: number) {
-    this.hot.cutFromList = true;
-    this.hot.cutFromPeers = true;
-    run(this, seconds);
+    this.observed.cutFromList = true;
+    this.observed.cutFromPeers = true;
+    runFleet(this, seconds);
   },
 );
 
 When('only one entry has demand for {int} seconds', function (this: LimitWorld, seconds: number) {
-  for (const member of this.fleet.members) member.demand = member === this.hot ? 1 : 0;
-  run(this, seconds);
+  for (const member of this.fleet.members) member.demand = member === this.observed ? 1 : 0;
+  runFleet(this, seconds);
 });
 
 When(
   'only one entry has demand for {int} seconds and is then paused for {int} seconds',
   function (this: LimitWorld, seconds: number, pause: number) {
-    for (const member of this.fleet.members) member.demand = member === this.hot ? 1 : 0;
-    run(this, seconds);
-    this.hot.paused = true;
-    run(this, pause);
+    for (const member of this.fleet.members) member.demand = member === this.observed ? 1 : 0;
+    runFleet(this, seconds);
+    this.observed.isPaused = true;
+    runFleet(this, pause);
   },
 );
 
 When(
-  'the platform of the limited entries is away for {int} seconds',
+  'the platform of the limited entries is unavailable for {int} seconds',
   function (this: LimitWorld, seconds: number) {
     this.fleet.isPlatformDown = true;
-    this.leastSum = 1;
+    this.minSum = 1;
     for (let second = 0; second < seconds; second += 1) {
-      run(this, 1);
-      this.leastSum = Math.min(this.leastSum, this.fleet.sum());
+      runFleet(this, 1);
+      this.minSum = Math.min(this.minSum, this.fleet.totalShare());
     }
   },
 );
@@ -200,18 +204,18 @@
 Then(
   'the limit shares added up to more than {float} of the limit all that time',
   function (this: LimitWorld, part: number) {
-    assert.ok(this.leastSum > part, `shares added up to ${this.leastSum}`);
+    assert.ok(this.minSum > part, `shares added up to ${this.minSum}`);
   },
 );
 
 When(
-  '{int} entries are parted from the others and the list drops them for {int} seconds',
+  '{int} entries are partitioned from the others and the list drops them for {int} seconds',
   function (this: LimitWorld, count: number, seconds: number) {
     for (const member of this.fleet.members.slice(0, count)) {
-      member.isFar = true;
+      member.isPartitioned = true;
       this.fleet.delist(member.name);
     }
-    run(this, seconds);
+    runFleet(this, seconds);
   },
 );
 
@@ -220,7 +224,7 @@
   function (this: LimitWorld, seconds: number) {
     for (const member of this.fleet.members) member.cutFromList = true;
     this.fleet.start().cutFromPeers = true;
-    run(this, seconds);
+    runFleet(this, seconds);
   },
 );
 
@@ -228,76 +232,81 @@
   'each is replaced under a new name, one every {int} seconds, with half of the limit in demand',
   function (this: LimitWorld, seconds: number) {
     const demand = 0.5 / this.fleet.members.length;
-    this.asked = 0;
-    this.refused = 0;
+    this.totalDemand = 0;
+    this.refusedDemand = 0;
     for (const member of this.fleet.members) member.demand = demand;
-    run(this, LOAN_SECONDS);
+    runFleet(this, REBALANCE_SECONDS);
     for (const member of [...this.fleet.members]) {
       this.fleet.kill(member);
       this.fleet.delist(member.name);
       const successor = this.fleet.start();
-      // It is given callers once it is ready, about a second after it is listed.
+      // The balancer sends callers once the entry is ready, about a second after it is listed.
       successor.demand = 0;
-      run(this, 1);
+      runFleet(this, 1);
       successor.demand = demand;
-      for (let tick = 0; tick < (seconds - 1) * SECOND; tick += 1) {
-        run(this, 1 / SECOND);
+      for (let tick = 0; tick < (seconds - 1) * TICKS_PER_SECOND; tick += 1) {
+        runFleet(this, 1 / TICKS_PER_SECOND);
         countRefused(this);
       }
     }
-    this.log(`${((100 * this.refused) / this.asked).toFixed(2)} % of the demand was refused`);
+    this.log(
+      `${((100 * this.refusedDemand) / this.totalDemand).toFixed(2)} % of the demand was refused`,
+    );
   },
 );
 
 function countRefused(world: LimitWorld): void {
   for (const member of world.fleet.members) {
-    const part = world.fleet.usable(member) / LIMITED.limits.requestsPerSecond;
-    world.asked += member.demand;
-    world.refused += Math.max(0, member.demand - part);
+    const usableFraction = world.fleet.usableShare(member) / WORKSPACE.limits.requestsPerSecond;
+    world.totalDemand += member.demand;
+    world.refusedDemand += Math.max(0, member.demand - usableFraction);
   }
 }
 
 Then(
   'less than {float} of that demand was above the limit shares',
   function (this: LimitWorld, part: number) {
-    assert.ok(this.refused < part * this.asked, `${this.refused} of ${this.asked}`);
+    assert.ok(
+      this.refusedDemand < part * this.totalDemand,
+      `${this.refusedDemand} of ${this.totalDemand}`,
+    );
   },
 );
 
 Then('the limit shares never add up to more than the whole limit', function (this: LimitWorld) {
-  assert.ok(this.mostSum > 0.3, `nothing was shared out: ${this.mostSum}`);
-  assert.ok(this.mostSum <= 1 + ROUNDING, `shares added up to ${this.mostSum}`);
+  assert.ok(this.maxSum > 0.3, `no shares were assigned: ${this.maxSum}`);
+  assert.ok(this.maxSum <= 1 + ROUNDING_TOLERANCE, `shares added up to ${this.maxSum}`);
 });
 
 Then('its limit share is the guaranteed part of one entry', function (this: LimitWorld) {
-  const share = this.hot.share?.requestsPerSecond ?? 0;
+  const share = this.observed.share?.requestsPerSecond ?? 0;
   const guaranteed = (OPTIONS.guaranteedFraction / OPTIONS.mostEntries) * 1_000;
-  assert.ok(Math.abs(share - guaranteed) < ROUNDING, `share is ${share}`);
+  assert.ok(Math.abs(share - guaranteed) < ROUNDING_TOLERANCE, `share is ${share}`);
 });
 
 Then(
   'its first admission after waking goes by the limit share that it has without loans',
   function (this: LimitWorld) {
-    const stale = this.hot.share;
+    const stale = this.observed.share;
     assert.ok(stale && stale.requestsPerSecond > 900, 'it had borrowed before the pause');
-    const awake = this.fleet.now * this.hot.clockRate + this.hot.clockOffset;
+    const awake = this.fleet.now * this.observed.clockRate + this.observed.clockOffset;
     const used = shareAt(stale, awake).requestsPerSecond;
-    assert.ok(used <= 30 + ROUNDING, `it would use ${used}`);
+    assert.ok(used <= 30 + ROUNDING_TOLERANCE, `it would use ${used}`);
   },
 );
 
 Then(
   'that entry may use more than {float} of the limit',
   function (this: LimitWorld, part: number) {
-    const share = this.hot.share?.requestsPerSecond ?? 0;
-    assert.ok(share > part * LIMITED.limits.requestsPerSecond, `share is ${share}`);
+    const share = this.observed.share?.requestsPerSecond ?? 0;
+    assert.ok(share > part * WORKSPACE.limits.requestsPerSecond, `share is ${share}`);
   },
 );
 
 Then(
   'the limit shares add up to more than {float} of the limit',
   function (this: LimitWorld, part: number) {
-    assert.ok(this.fleet.sum() > part, `sum is ${this.fleet.sum()}`);
+    assert.ok(this.fleet.totalShare() > part, `sum is ${this.fleet.totalShare()}`);
   },
 );
 
@@ -312,7 +321,7 @@
 );
 
 Given('random series of requests against a limit share', function () {
-  // The series are drawn by the properties below.
+  // The properties below generate the series.
 });
 
 Then(
@@ -354,8 +363,8 @@
       concurrent += 1;
     }
     const burst = Math.max(1, share.requestsPerSecond);
-    const most = burst + (share.requestsPerSecond * now) / 1_000 + ROUNDING;
-    return admitted <= most && concurrent <= 5;
+    const maxAdmitted = burst + (share.requestsPerSecond * now) / 1_000 + ROUNDING_TOLERANCE;
+    return admitted <= maxAdmitted && concurrent <= 5;
   });
   fc.assert(property, { seed: SEED, numRuns: 200 });
 });
--- a/src/controllers/limits/entry-view.ts
+++ b/src/controllers/limits/entry-view.ts
@@ -1,71 +1,67 @@
 /**
- * How many entries divide a limit, so that entries with different views never divide it by too few.
+ * Determines by how many entries a limit is divided, such that the sum of the shares stays within
+ * the limit even while entries have different views of the fleet.
  *
- * An entry uses its part of the divided limit only while its list of entries is fresh, and only
- * after it has seen itself listed for {@link settleMs}: by then every entry that acts on a fresh
- * list counts it, and every other one has stopped using its part. For the same reason an entry that
- * left the list is counted for that long.
- *
- * Guards against a sum of shares above the limit: a newcomer that takes its part before all others
- * have made theirs smaller, or an entry cut off from the list that keeps the larger part of a
- * smaller fleet. Two entries that use their parts at the same time count each other, so each
- * divides by at least the number of those that do.
+ * An entry uses its part of the divided limit only while its list of entries is fresh and after it
+ * has been listed for {@link settleMs}. By then, every entry with a fresh list counts it, and every
+ * other one has stopped using its part. An entry that left the list is counted for the same time.
+ * So entries that use their parts at the same time always count each other.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
-import { LIST_LAG_MS, LOAN_GUARD_MS, LOAN_MS, VIEW_GUARD_MS } from './constants.js';
-import { confirmList, isListKnown, type ListNews } from './entry-list.js';
+import { MAX_LIST_LAG_MS, LOAN_MARGIN_MS, LOAN_DURATION_MS, VIEW_MARGIN_MS } from './constants.js';
+import { listConfirmedAt, isListHeldByPeer, type ListNews } from './entry-list.js';
 import type { ShareOptions, ShareState } from './share-state.js';
 
 /**
- * Takes in the platform's list of entries, live and leaving, and what is known of its age.
+ * Updates the view with the platform's list of live and leaving entries and its freshness.
  *
- * @example observeEntries(state, news, clock.now());
+ * @example observeEntries(state, status, clock.now());
  */
-export function observeEntries(state: ShareState, news: ListNews, now: Milliseconds): void {
-  lapseView(state, now);
+export function observeEntries(state: ShareState, status: ListNews, now: Milliseconds): void {
+  expireView(state, now);
   const { view } = state;
-  view.confirmedAt = Math.max(view.confirmedAt, confirmList(news));
-  const names = new Set(news.listed);
-  for (const name of names) view.missingSince.set(name, undefined);
-  for (const [name, since] of view.missingSince) {
+  view.confirmedAt = Math.max(view.confirmedAt, listConfirmedAt(status));
+  const names = new Set(status.listed);
+  for (const name of names) view.countedEntries.set(name, undefined);
+  for (const [name, since] of view.countedEntries) {
     if (names.has(name)) continue;
-    if (since === undefined) view.missingSince.set(name, now);
-    else if (now - since > settleMs(state.options)) view.missingSince.delete(name);
+    if (since === undefined) view.countedEntries.set(name, now);
+    else if (now - since > settleMs(state.options)) view.countedEntries.delete(name);
   }
-  if (!names.has(state.name) || !isFresh(state, now)) delete view.listedSince;
-  else if (view.listedSince === undefined && isListKnown(news)) view.listedSince = now;
+  if (!names.has(state.name) || !isViewFresh(state, now)) delete view.listedSince;
+  else if (view.listedSince === undefined && isListHeldByPeer(status)) view.listedSince = now;
 }
 
-/** The part of the divided limit that this entry may use now. */
+/** The fraction of a limit that this entry may use from the divided part. */
 export function dividedFraction(state: ShareState, now: Milliseconds): number {
-  lapseView(state, now);
+  expireView(state, now);
   const { view, options } = state;
   if (view.listedSince === undefined) return 0;
   if (now - view.listedSince < settleMs(options)) return 0;
-  return (1 - options.guaranteedFraction) / Math.max(1, view.missingSince.size);
+  return (1 - options.guaranteedFraction) / Math.max(1, view.countedEntries.size);
 }
 
-/** When the part of the divided limit ends unless the list is confirmed again. */
-export function viewLapsesAt(state: ShareState): Milliseconds {
+/** When the view expires unless the list is confirmed again. */
+export function viewExpiresAt(state: ShareState): Milliseconds {
   return state.view.confirmedAt + state.options.viewFreshMs;
 }
 
 /**
- * How long a change of the list takes to be either known or no longer needed at every entry: the
- * list's lag, the longest time that an old one is acted on, and loans made until then.
+ * The time after which a change of the list has reached every entry that still uses the divided part.
+ * Covers the list's lag, the freshness period of an old list and the loans granted until then.
  */
 export function settleMs(options: ShareOptions): Milliseconds {
-  return LIST_LAG_MS + options.viewFreshMs + LOAN_MS + LOAN_GUARD_MS + VIEW_GUARD_MS;
+  return MAX_LIST_LAG_MS + options.viewFreshMs + LOAN_DURATION_MS + LOAN_MARGIN_MS + VIEW_MARGIN_MS;
 }
 
 /**
- * Starts over once the list was not confirmed in time: this entry may have been taken off it and
- * put back meanwhile, and others may have stopped counting it.
+ * Resets the listed period if the list was not confirmed in time: this entry may have been removed
+ * and added again in the meantime, and others may have stopped counting it.
  */
-function lapseView(state: ShareState, now: Milliseconds): void {
-  if (!isFresh(state, now)) delete state.view.listedSince;
+function expireView(state: ShareState, now: Milliseconds): void {
+  if (!isViewFresh(state, now)) delete state.view.listedSince;
 }
 
-function isFresh(state: ShareState, now: Milliseconds): boolean {
-  return now < viewLapsesAt(state);
+function isViewFresh(state: ShareState, now: Milliseconds): boolean {
+  return now < viewExpiresAt(state);
 }
--- a/src/controllers/limits/loans.ts
+++ b/src/controllers/limits/loans.ts
@@ -1,38 +1,37 @@
 /**
- * Loans between entries: who has more of a limit than its callers ask for lends a part to who has
- * less, for a few seconds at a time.
+ * Short-lived loans between entries: an entry with spare capacity of a limit lends a part of it to
+ * entries whose demand exceeds their share.
  *
- * A lender counts a loan as gone before it tells the borrower and until after the borrower must
- * have dropped it. The borrower's lease runs from when it asked, on its own clock, and the lender
- * echoes that instant: however long the grant was on its way, it ends before the lender counts on
- * it again. Guards against a part used twice, which would show as a workspace above its limit.
- * Lost, late, doubled and reordered messages only make loans smaller. Nothing borrowed is lent on.
+ * No capacity may be used twice. A lender deducts a loan before it sends the grant and until after
+ * the borrower's lease has expired. The lease starts at the borrower's request, on the borrower's
+ * clock, so a delayed grant can't extend it. Lost, late, duplicated and reordered messages can only
+ * reduce loans. Borrowed capacity isn't lent again.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import {
   DEMAND_HEADROOM,
-  LEAST_LOAN,
+  MIN_LOAN_FRACTION,
   LENDABLE_FRACTION,
-  LOAN_GUARD_MS,
-  LOAN_MS,
+  LOAN_MARGIN_MS,
+  LOAN_DURATION_MS,
   MAX_BORROWERS,
 } from './constants.js';
 import { dividedFraction } from './entry-view.js';
 import type { LentShare, PeerNeeds, ShareState } from './share-state.js';
 import type { LoanGrant, ShareLoan } from './types.js';
 
-/** Digits of a fraction that go over the wire. */
+/** Loans are rounded down to multiples of 1 / FRACTION_SCALE. */
 const FRACTION_SCALE = 10_000;
 
-/** A peer that asked lately, with its name. */
+/** A peer that has requested a loan recently. */
 interface Borrower {
   name: string;
   needs: PeerNeeds;
 }
 
 /**
- * Decides what to lend to whom, and counts it as lent from now on. Each lender offers its part of
- * what is missing, as if all entries that lack nothing had as much to spare.
+ * Decides which loans to grant and records them as lent. Each lender offers its portion of the
+ * missing fraction, assuming that all entries without needs have the same spare capacity.
  *
  * @example const grants = decideLoans(state, clock.now());
  */
@@ -49,8 +48,8 @@
 }
 
 /**
- * Takes in what `lender` lends, if it is meant for this start of this entry and newer than what is
- * held.
+ * Stores a grant from `lender` if it is addressed to this incarnation of this entry, has not expired
+ * and is newer than the stored grant.
  *
  * @example acceptGrant(state, 'entry-2', lenderIncarnation, digest.stamp, grant, clock.now());
  */
@@ -64,47 +63,48 @@
 ): void {
   if (grant.borrower !== state.name || grant.incarnation !== state.incarnation) return;
   if (grant.askedAt > state.lastStamp) return;
-  const endsAt = grant.askedAt + LOAN_MS;
-  const held = state.borrowed.get(lender);
-  if (endsAt <= now) return;
-  if (held?.incarnation === incarnation && held.stamp >= stamp) return;
+  const expiresAt = grant.askedAt + LOAN_DURATION_MS;
+  const current = state.borrowed.get(lender);
+  if (expiresAt <= now) return;
+  if (current?.incarnation === incarnation && current.stamp >= stamp) return;
   const fractions = new Map(grant.loans.map((loan) => [loan.workspace, loan.fraction]));
-  state.borrowed.set(lender, { incarnation, stamp, endsAt, fractions });
+  state.borrowed.set(lender, { incarnation, stamp, expiresAt: expiresAt, fractions });
 }
 
-/** What this entry may use of a limit by itself, before loans either way. */
+/** The fraction of a limit that belongs to this entry, not counting loans. */
 export function ownFraction(state: ShareState, now: Milliseconds): number {
   return guaranteedFraction(state, now) + dividedFraction(state, now);
 }
 
-/** What others may be using of this entry's own part. */
+/** The fraction of this entry's own part that borrowers may be using. */
 export function lentFraction(state: ShareState, workspace: string, now: Milliseconds): number {
   let sum = 0;
-  for (const shares of state.lent.get(workspace)?.values() ?? []) sum += mostOf(shares, now);
+  for (const shares of state.lent.get(workspace)?.values() ?? [])
+    sum += largestFraction(shares, now);
   return sum;
 }
 
-/** What this entry may use of others' parts. */
+/** The fraction that this entry has borrowed from others. */
 export function borrowedFraction(state: ShareState, workspace: string, now: Milliseconds): number {
   let sum = 0;
   for (const borrowed of state.borrowed.values()) {
-    if (now < borrowed.endsAt) sum += borrowed.fractions.get(workspace) ?? 0;
+    if (now < borrowed.expiresAt) sum += borrowed.fractions.get(workspace) ?? 0;
   }
   return sum;
 }
 
-/** Forgets loans that have ended and needs too old to lend for. */
+/** Removes expired loans and outdated needs. */
 export function dropEndedLoans(state: ShareState, now: Milliseconds): void {
-  for (const [name, needs] of state.peers) {
-    if (now - needs.heardAt > LOAN_MS) state.peers.delete(name);
+  for (const [name, needs] of state.peerNeeds) {
+    if (now - needs.receivedAt > LOAN_DURATION_MS) state.peerNeeds.delete(name);
   }
   for (const [lender, borrowed] of state.borrowed) {
-    if (borrowed.endsAt <= now) state.borrowed.delete(lender);
+    if (borrowed.expiresAt <= now) state.borrowed.delete(lender);
   }
   for (const [workspace, borrowers] of state.lent) {
     for (const [borrower, shares] of borrowers) {
-      const open = shares.filter((share) => share.endsAt > now);
-      if (open.length > 0) borrowers.set(borrower, open);
+      const unexpired = shares.filter((share) => share.expiresAt > now);
+      if (unexpired.length > 0) borrowers.set(borrower, unexpired);
       else borrowers.delete(borrower);
     }
     if (borrowers.size === 0) state.lent.delete(workspace);
@@ -112,20 +112,20 @@
 }
 
 /**
- * The part that needs no news. Right after its start an entry uses only what is never lent: an
- * earlier start under the same name may have lent the rest and can't be asked.
+ * The fraction that is usable without communication. After a restart, loans of the previous process
+ * may still be in use, so the lendable part becomes usable only once they have expired.
  */
 function guaranteedFraction(state: ShareState, now: Milliseconds): number {
-  const whole = state.options.guaranteedFraction / state.options.mostEntries;
-  const settled = now - state.startedAt >= LOAN_MS + LOAN_GUARD_MS;
-  return settled ? whole : whole * (1 - LENDABLE_FRACTION);
+  const guaranteed = state.options.guaranteedFraction / state.options.mostEntries;
+  const settled = now - state.startedAt >= LOAN_DURATION_MS + LOAN_MARGIN_MS;
+  return settled ? guaranteed : guaranteed * (1 - LENDABLE_FRACTION);
 }
 
 function listBorrowers(state: ShareState, now: Milliseconds): Borrower[] {
-  const asking = [...state.peers].filter(
-    ([, needs]) => needs.missing.size > 0 && now - needs.heardAt < LOAN_MS / 2,
+  const requesters = [...state.peerNeeds].filter(
+    ([, needs]) => needs.missing.size > 0 && now - needs.receivedAt < LOAN_DURATION_MS / 2,
   );
-  return asking
+  return requesters
     .sort(([, one], [, other]) => sumMissing(other) - sumMissing(one))
     .slice(0, MAX_BORROWERS)
     .map(([name, needs]) => ({ name, needs }));
@@ -140,32 +140,35 @@
 ): ShareLoan[] {
   const missing = borrower.needs.missing.get(workspace) ?? 0;
   const spare = spareFraction(state, workspace, now);
-  const asking = borrowers.filter((one) => one.needs.missing.has(workspace));
-  const asked = asking.reduce((sum, one) => sum + (one.needs.missing.get(workspace) ?? 0), 0);
-  const lenders = Math.max(1, state.view.missingSince.size - asking.length);
-  const offer = (missing * spare) / Math.max(spare * lenders, asked);
-  const shares = sharesOf(state, workspace, borrower.name);
-  const room = lendableFraction(state, now) - lentFraction(state, workspace, now);
-  const most = mostOf(shares, now) + Math.max(0, room);
-  const fraction = Math.floor(Math.min(offer, most) * FRACTION_SCALE) / FRACTION_SCALE;
-  if (!(fraction >= LEAST_LOAN)) return [];
-  shares.push({ fraction, endsAt: now + LOAN_MS + LOAN_GUARD_MS });
+  const requesters = borrowers.filter((candidate) => candidate.needs.missing.has(workspace));
+  const totalMissing = requesters.reduce(
+    (sum, requester) => sum + (requester.needs.missing.get(workspace) ?? 0),
+    0,
+  );
+  const lenderCount = Math.max(1, state.view.countedEntries.size - requesters.length);
+  const offer = (missing * spare) / Math.max(spare * lenderCount, totalMissing);
+  const shares = getOrCreateLoans(state, workspace, borrower.name);
+  const unlent = lendableFraction(state, now) - lentFraction(state, workspace, now);
+  const max = largestFraction(shares, now) + Math.max(0, unlent);
+  const fraction = Math.floor(Math.min(offer, max) * FRACTION_SCALE) / FRACTION_SCALE;
+  if (!(fraction >= MIN_LOAN_FRACTION)) return [];
+  shares.push({ fraction, expiresAt: now + LOAN_DURATION_MS + LOAN_MARGIN_MS });
   return [{ workspace, fraction }];
 }
 
 function lendableFraction(state: ShareState, now: Milliseconds): number {
   const guaranteed = state.options.guaranteedFraction / state.options.mostEntries;
-  const settled = now - state.startedAt >= LOAN_MS + LOAN_GUARD_MS;
+  const settled = now - state.startedAt >= LOAN_DURATION_MS + LOAN_MARGIN_MS;
   return (settled ? guaranteed * LENDABLE_FRACTION : 0) + dividedFraction(state, now);
 }
 
-/** What this entry's own callers leave over. */
+/** The lendable fraction that this entry's own demand doesn't need. */
 function spareFraction(state: ShareState, workspace: string, now: Milliseconds): number {
-  const kept = (state.wanted.get(workspace) ?? 0) * DEMAND_HEADROOM;
-  return Math.min(lendableFraction(state, now), Math.max(0, ownFraction(state, now) - kept));
+  const reserved = (state.ownDemand.get(workspace) ?? 0) * DEMAND_HEADROOM;
+  return Math.min(lendableFraction(state, now), Math.max(0, ownFraction(state, now) - reserved));
 }
 
-function sharesOf(state: ShareState, workspace: string, borrower: string): LentShare[] {
+function getOrCreateLoans(state: ShareState, workspace: string, borrower: string): LentShare[] {
   const borrowers = state.lent.get(workspace) ?? new Map<string, LentShare[]>();
   state.lent.set(workspace, borrowers);
   const shares = borrowers.get(borrower) ?? [];
@@ -173,13 +176,13 @@
   return shares;
 }
 
-/** The borrower uses one grant at a time; which one is not known, so the largest counts. */
-function mostOf(shares: readonly LentShare[], now: Milliseconds): number {
-  let most = 0;
+/** The borrower uses one grant at a time. The lender can't know which, so it assumes the largest. */
+function largestFraction(shares: readonly LentShare[], now: Milliseconds): number {
+  let max = 0;
   for (const share of shares) {
-    if (share.endsAt > now) most = Math.max(most, share.fraction);
+    if (share.expiresAt > now) max = Math.max(max, share.fraction);
   }
-  return most;
+  return max;
 }
 
 function sumMissing(needs: PeerNeeds): number {
--- a/src/controllers/limits/share-state.ts
+++ b/src/controllers/limits/share-state.ts
@@ -1,51 +1,50 @@
 /**
- * What one entry remembers to split fleet-wide limits: a plain object, changed in place and owned
- * by one shell. Shares, needs and loans are fractions of a limit, so that a changed limit changes
- * them all alike.
+ * The mutable state with which one entry computes its shares of fleet-wide limits. Shares, needs and
+ * loans are fractions, so that they scale with a limit when it is changed.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 
-/** How the limits are split; the same at every entry. */
+/** Settings of the division of limits; must be the same on every entry. */
 export interface ShareOptions {
-  /** Entries that run at once at most, in all the fleet. */
+  /** Maximum number of entries that run at the same time in the whole fleet. */
   mostEntries: number;
-  /** Part of each limit that is divided by `mostEntries` and needs no news to be used. */
+  /** Fraction of each limit that is divided by `mostEntries` and usable without communication. */
   guaranteedFraction: number;
-  /** How long the platform's list of entries is acted on without being confirmed. */
+  /** How long the platform's list of entries stays valid without a confirmation. */
   viewFreshMs: Milliseconds;
 }
 
-/** The entries that may be using a share, as this entry knows them. */
+/** The entries that may be using a share, as far as this entry knows. */
 export interface EntryView {
-  /** By name; the value says since when an entry is missing from the list. */
-  missingSince: Map<string, Milliseconds | undefined>;
-  /** Since when this entry has seen itself listed without a lapse. */
+  /** By name; the value is the time since which the entry is missing from the list, if it is. */
+  countedEntries: Map<string, Milliseconds | undefined>;
+  /** Start of the current uninterrupted period in which this entry is listed and its view is fresh. */
   listedSince?: Milliseconds;
-  /** When the list was last known to be current. */
+  /** When the list was last confirmed to be current. */
   confirmedAt: Milliseconds;
 }
 
 /** A loan that the borrower may still be using. */
 export interface LentShare {
   fraction: number;
-  endsAt: Milliseconds;
+  expiresAt: Milliseconds;
 }
 
-/** What one lender lends this entry. */
+/** The shares that one lender lends this entry. */
 export interface BorrowedShares {
   incarnation: string;
-  /** The lender's stamp of the digest that granted it: older ones are ignored. */
+  /** Stamp of the lender's digest that contained the grant; older digests are ignored. */
   stamp: number;
-  endsAt: Milliseconds;
+  expiresAt: Milliseconds;
   fractions: Map<string, number>;
 }
 
-/** What one other entry asked for last. */
+/** The latest needs that a peer has sent. */
 export interface PeerNeeds {
   incarnation: string;
   stamp: number;
-  heardAt: Milliseconds;
-  /** What it lacks, by workspace. */
+  receivedAt: Milliseconds;
+  /** Missing fraction, by workspace. */
   missing: Map<string, number>;
 }
 
@@ -55,21 +54,22 @@
   options: ShareOptions;
   startedAt: Milliseconds;
   view: EntryView;
-  /** What this entry's callers ask of each workspace's limits. */
-  wanted: Map<string, number>;
-  /** What one of the other entries is asked for in the mean: what a new entry will be asked for. */
-  expected: Map<string, number>;
-  /** Loans not yet ended, by workspace and borrower. */
+  /** Demand on this entry as a fraction of each workspace's limits. */
+  ownDemand: Map<string, number>;
+  /** Mean demand on the other entries: an estimate of the demand on a new entry. */
+  expectedDemand: Map<string, number>;
+  /** Outstanding loans, by workspace and borrower. */
   lent: Map<string, Map<string, LentShare[]>>;
-  /** By lender. */
+  /** Borrowed shares, by lender. */
   borrowed: Map<string, BorrowedShares>;
-  /** By entry. */
-  peers: Map<string, PeerNeeds>;
+  /** Needs of the other entries, by name. */
+  peerNeeds: Map<string, PeerNeeds>;
+  /** Stamp of the last digest that this entry sent. */
   lastStamp: number;
 }
 
 /**
- * The memory of an entry that starts at `now`.
+ * Creates the state of an entry that starts at `now`.
  *
  * @example createShareState('entry-1', incarnation, options, clock.now());
  */
@@ -84,12 +84,12 @@
     incarnation,
     options,
     startedAt: now,
-    view: { missingSince: new Map(), confirmedAt: Number.NEGATIVE_INFINITY },
-    wanted: new Map(),
-    expected: new Map(),
+    view: { countedEntries: new Map(), confirmedAt: Number.NEGATIVE_INFINITY },
+    ownDemand: new Map(),
+    expectedDemand: new Map(),
     lent: new Map(),
     borrowed: new Map(),
-    peers: new Map(),
+    peerNeeds: new Map(),
     lastStamp: Number.NEGATIVE_INFINITY,
   };
 }
--- a/src/controllers/limits/shares.ts
+++ b/src/controllers/limits/shares.ts
@@ -1,15 +1,15 @@
 /**
- * The part of each workspace's fleet-wide limits that this entry may use.
+ * Computes this entry's share of each workspace's fleet-wide limits.
  *
- * A limit is split in two. The guaranteed part is divided by the most entries that may run and can
- * be used without any news; the rest is divided by the entries that are counted now (see
- * `entry-view`) and moves with demand by loans (see `loans`). Whatever is lost or late, the sum of
- * the shares stays at or below the limit; an entry without news falls back to the guaranteed part.
+ * A limit has two parts. The guaranteed part is divided by the maximum number of entries and needs
+ * no communication. The rest is divided by the current number of entries (see `entry-view`), and
+ * loans move it to where the demand is (see `loans`). The sum of all shares never exceeds the limit,
+ * even when messages are lost or late; an isolated entry falls back to its guaranteed part.
  */
 import type { WorkspaceDemand, WorkspaceShare } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Workspace } from '../../objects/index.js';
-import { viewLapsesAt } from './entry-view.js';
+import { viewExpiresAt } from './entry-view.js';
 import { borrowedFraction, lentFraction, ownFraction } from './loans.js';
 import type { ShareState } from './share-state.js';
 
@@ -20,8 +20,7 @@
 }
 
 /**
- * Takes in what this entry's callers ask of the limits, refused requests included, and what those
- * of each other entry ask.
+ * Records the demand on this entry, including refused requests, and the mean demand on its peers.
  *
  * @example observeDemands(state, workspaces, board.attempts.read().demands, peersDemands);
  */
@@ -31,14 +30,14 @@
   demands: readonly WorkspaceDemand[],
   peersDemands: readonly (readonly WorkspaceDemand[])[] = [],
 ): void {
-  state.wanted.clear();
-  state.expected.clear();
-  const asked = new Map(demands.map((demand) => [demand.workspace, demand]));
+  state.ownDemand.clear();
+  state.expectedDemand.clear();
+  const demandByWorkspace = new Map(demands.map((demand) => [demand.workspace, demand]));
   for (const { name, limits } of workspaces) {
-    const demand = asked.get(name);
-    if (demand) state.wanted.set(name, demandedFraction(demand, limits));
+    const demand = demandByWorkspace.get(name);
+    if (demand) state.ownDemand.set(name, demandedFraction(demand, limits));
     const expected = meanDemand(name, limits, peersDemands);
-    if (expected > 0) state.expected.set(name, expected);
+    if (expected > 0) state.expectedDemand.set(name, expected);
   }
 }
 
@@ -49,7 +48,7 @@
 ): number {
   let sum = 0;
   for (const demands of peersDemands) {
-    const demand = demands.find((one) => one.workspace === workspace);
+    const demand = demands.find((candidate) => candidate.workspace === workspace);
     if (demand) sum += demandedFraction(demand, limits);
   }
   return sum / Math.max(1, peersDemands.length);
@@ -70,7 +69,7 @@
   );
 }
 
-/** The part of one workspace's limits that this entry may use now. */
+/** The fraction of one workspace's limits that this entry may use now, including loans. */
 export function shareFraction(state: ShareState, workspace: string, now: Milliseconds): number {
   const own = ownFraction(state, now) - lentFraction(state, workspace, now);
   return Math.max(0, own) + borrowedFraction(state, workspace, now);
@@ -81,47 +80,50 @@
   { name, limits }: LimitedWorkspace,
   now: Milliseconds,
 ): WorkspaceShare {
-  const share = takeFraction(state, limits, shareFraction(state, name, now));
-  const left = guaranteedLeft(state, name, now);
-  const lapse = { at: lapsesAt(state, name, now), share: takeFraction(state, limits, left) };
+  const share = scaleLimits(state, limits, shareFraction(state, name, now));
+  const fallback = fallbackFraction(state, name, now);
+  const lapse = {
+    at: shareExpiresAt(state, name, now),
+    share: scaleLimits(state, limits, fallback),
+  };
   return { ...share, lapse };
 }
 
-/** What surely remains when all that depends on news has lapsed. */
-function guaranteedLeft(state: ShareState, workspace: string, now: Milliseconds): number {
+/** The fraction that remains once borrowed shares and the view of the fleet have expired. */
+function fallbackFraction(state: ShareState, workspace: string, now: Milliseconds): number {
   const guaranteed = state.options.guaranteedFraction / state.options.mostEntries;
   const own = Math.min(guaranteed, ownFraction(state, now));
   return Math.max(0, own - lentFraction(state, workspace, now));
 }
 
-/** The first instant at which some of the share may have lapsed. */
-function lapsesAt(state: ShareState, workspace: string, now: Milliseconds): Milliseconds {
-  const viewEnd = viewLapsesAt(state);
-  let at = viewEnd > now ? viewEnd : Number.POSITIVE_INFINITY;
+/** The earliest time at which a part of the share may expire. */
+function shareExpiresAt(state: ShareState, workspace: string, now: Milliseconds): Milliseconds {
+  const viewExpiry = viewExpiresAt(state);
+  let at = viewExpiry > now ? viewExpiry : Number.POSITIVE_INFINITY;
   for (const borrowed of state.borrowed.values()) {
-    if (borrowed.endsAt > now && borrowed.fractions.has(workspace)) {
-      at = Math.min(at, borrowed.endsAt);
+    if (borrowed.expiresAt > now && borrowed.fractions.has(workspace)) {
+      at = Math.min(at, borrowed.expiresAt);
     }
   }
   return at;
 }
 
 /**
- * `fraction` of the limits. Concurrent requests come whole: where the limit allows, one of them is
- * each entry's for good, and the rest is split and rounded down, so that small parts are of use.
+ * Scales the limits by `fraction`. Concurrent requests are integers: if the limit allows, each entry
+ * always gets one, and the rest is scaled and rounded down, so that small fractions aren't lost.
  */
-function takeFraction(
+function scaleLimits(
   state: ShareState,
   limits: Workspace['limits'],
   fraction: number,
 ): WorkspaceShare {
   const { mostEntries } = state.options;
-  const fixed = limits.concurrentRequests >= mostEntries ? 1 : 0;
-  const divisible = limits.concurrentRequests - fixed * mostEntries;
+  const fixedSlots = limits.concurrentRequests >= mostEntries ? 1 : 0;
+  const divisibleSlots = limits.concurrentRequests - fixedSlots * mostEntries;
   return {
     requestsPerSecond: limits.requestsPerSecond * fraction,
     tokensPerSecond: limits.tokensPerSecond * fraction,
-    concurrentRequests: fixed + Math.floor(divisible * fraction),
+    concurrentRequests: fixedSlots + Math.floor(divisibleSlots * fraction),
   };
 }
 
--- a/src/controllers/limits/types.ts
+++ b/src/controllers/limits/types.ts
@@ -1,53 +1,53 @@
 /**
- * The messages of the limits: may a workspace be served one more request now, and which part of
- * its fleet-wide limits may this entry use?
+ * Types of request admission, and schemas of the messages with which entries lend each other parts
+ * of fleet-wide limits.
  */
 import * as z from 'zod';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Failure } from '../../core/errors/index.js';
 import { incarnationSchema, nameSchema } from '../../objects/index.js';
 
-/** What one request asks of its workspace's limits. */
+/** The cost of one request against its workspace's limits. */
 export interface AdmissionRequest {
   workspace: string;
-  /** Prompt and most output tokens, estimated; 0 for a plain service. */
+  /** Estimated prompt tokens plus the maximum output tokens; 0 for a plain service. */
   tokens: number;
 }
 
-/** `release` the admission with the tokens really used when the request has ended. */
+/** The result of an admission check. An admitted request must be released when it ends. */
 export type Admission =
   | { kind: 'admitted' }
   | { kind: 'refused'; failure: Failure<'limitExceeded'>; retryAfterMs: Milliseconds };
 
 const fraction = z.number().min(0).max(1);
 
-/** What an entry lacks of one workspace's limits, as a part of the whole. */
+/** How much of one workspace's limits an entry lacks, as a fraction of the whole limit. */
 export const shareNeedSchema = z.strictObject({
   workspace: nameSchema,
   missing: fraction,
 });
 
-/** A part of the lender's own share of one workspace's limits. */
+/** A fraction of one workspace's limits, lent out of the lender's own share. */
 export const shareLoanSchema = z.strictObject({
   workspace: nameSchema,
   fraction,
 });
 
-/** All that one entry lends another; it replaces what it lent it before. */
+/** Everything that one entry lends another; replaces its earlier grants to that entry. */
 export const loanGrantSchema = z.strictObject({
   borrower: nameSchema,
   incarnation: incarnationSchema,
-  /** Echo of the `stamp` with which the borrower asked. */
+  /** The `stamp` of the borrower's request. */
   askedAt: z.number(),
   loans: z.array(shareLoanSchema).max(64),
 });
 
-/** What entries tell each other about their shares; part of the digest between them. */
+/** Needs and grants that entries exchange as part of their digest. */
 export const limitDigestSchema = z.strictObject({
   incarnation: incarnationSchema,
   /**
-   * The sender's own clock when it made the digest. Nobody else reckons with it: it orders the
-   * sender's digests, and comes back to it in grants.
+   * The sender's clock when it created the digest. Receivers use it only to order that sender's
+   * digests, and echo it in their grants.
    */
   stamp: z.number(),
   needs: z.array(shareNeedSchema).max(64),
