--- a/features/configuration/operators.feature
+++ b/features/configuration/operators.feature
@@ -1,5 +1,5 @@
 Feature: The operators' API over HTTP
-  Scripts and the command line steer by status codes and bodies; each refusal has to say what to do.
+  Scripts and the command line depend on the status codes and bodies of the API.
 
   Scenario Outline: answers of the operators' API
     Given an entry with an operators' listener
--- a/features/configuration/operators.steps.ts
+++ b/features/configuration/operators.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps for the operators' listener.
+ * Steps for the operators' API over HTTP.
  */
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
@@ -20,7 +20,7 @@
   this.operated = fleet;
   fleet.platform.put('model', 'known', { replicas: 1 });
   const entry = await fleet.startEntry('entry-1', 'site');
-  await waitFor('it to be ready', () => entry.membership.readiness().kind === 'ready');
+  await waitFor('the entry to be ready', () => entry.membership.readiness().kind === 'ready');
   this.listener = createOperators('127.0.0.1:0', entry.operations);
   this.operatorsAddress = (await this.listener.listen())._unsafeUnwrap();
 });
--- a/features/configuration/properties.steps.ts
+++ b/features/configuration/properties.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Properties of merging and of the judgement of acceptance.
+ * Property tests of merging and of acceptance.
  */
 import assert from 'node:assert/strict';
 import { Then } from '@cucumber/cucumber';
@@ -22,8 +22,8 @@
   kind: fc.constantFrom('valid', 'invalid', 'deleted'),
 });
 
-/** One platform's history: the index is the version. */
-function toObjects(changes: readonly { name: string; kind: string }[]): StoredObject[] {
+/** Creates the history of one platform; versions count from 1 in the order of changes. */
+function createHistory(changes: readonly { name: string; kind: string }[]): StoredObject[] {
   return changes.map(({ name, kind }, index) => ({
     kind: 'model',
     name,
@@ -38,7 +38,7 @@
   return mergeObjects(createObjectState(), { since: 0, revision, objects });
 }
 
-function versionsInForce(state: ObjectState): Map<string, number> {
+function listValidVersions(state: ObjectState): Map<string, number> {
   return new Map([...state.records].map(([key, { valid }]) => [key, valid?.version ?? 0] as const));
 }
 
@@ -48,25 +48,25 @@
     fc.array(change, { minLength: 1, maxLength: 30 }),
     order,
     (changes, indices) => {
-      const objects = toObjects(changes);
+      const objects = createHistory(changes);
       const revision = objects.length;
       let state = createObjectState();
       const deliveries = indices.map((index) => objects[index % revision]);
       for (const object of [...deliveries, ...objects]) {
         if (object === undefined) continue;
-        const before = versionsInForce(state);
-        // News of single objects, as of an own write, leave a gap: the revision must not move.
+        const before = listValidVersions(state);
+        // Single objects, such as from an own write, leave a gap, so the revision must not advance.
         const offered = { since: revision, revision, objects: [object] };
         const next = mergeObjects(state, offered);
         assert.equal(next.revision, 0);
         assert.equal(mergeObjects(next, offered), next);
-        const after = versionsInForce(next);
+        const after = listValidVersions(next);
         for (const [key, version] of before) assert((after.get(key) ?? 0) >= version);
         state = next;
       }
       state = mergeObjects(state, { since: 0, revision, objects: [] });
       const inOrder = mergeAll(objects, revision);
-      assert.deepEqual(versionsInForce(state), versionsInForce(inOrder));
+      assert.deepEqual(listValidVersions(state), listValidVersions(inOrder));
       const old = mergeObjects(state, { since: 0, revision: revision - 1, objects });
       assert.equal(old, state);
     },
@@ -79,7 +79,7 @@
     fc.array(change, { maxLength: 30 }),
     fc.integer({ min: 1, max: 5 }),
     (changes, pageSize) => {
-      const source = mergeAll(toObjects(changes), changes.length + 3);
+      const source = mergeAll(createHistory(changes), changes.length + 3);
       let state = createObjectState();
       let more = true;
       while (more) {
@@ -88,7 +88,7 @@
         ({ more } = page);
       }
       assert.equal(state.revision, source.revision);
-      assert.deepEqual(versionsInForce(state), versionsInForce(source));
+      assert.deepEqual(listValidVersions(state), listValidVersions(source));
     },
   );
   fc.assert(property, { seed: SEED, numRuns: RUNS });
@@ -122,7 +122,7 @@
     fc.array(entryState, { maxLength: 5 }),
     fc.nat({ max: 6 }),
     fc.nat({ max: 6 }),
-    (states, own, revision) => {
+    (states, ownRevision, revision) => {
       const instances = new Map<string, Instance>();
       const peers = new Map<string, Peer>();
       states.forEach(({ revision: actual, lag, isListed, isHeard }, index) => {
@@ -133,17 +133,19 @@
       });
       const acceptance = judgeAcceptance({
         revision,
-        self: { name: 'self', failureDomain: 'site', revision: own },
+        self: { name: 'self', failureDomain: 'site', revision: ownRevision },
         fleet: { revision: 0, instances, leaving: new Set() },
         peers,
         summaries: [],
         departed: new Set(),
       });
       const live = states.filter(({ isListed, isHeard }) => isListed || isHeard);
-      const lacks = own < revision || live.some((entry) => entry.revision < revision);
-      if (lacks) assert.equal(acceptance.kind, 'pending');
-      const known = live.every((e) => e.isHeard && e.revision - e.lag >= revision);
-      if (known && own >= revision) assert.equal(acceptance.kind, 'accepted');
+      const isLacking = ownRevision < revision || live.some((entry) => entry.revision < revision);
+      if (isLacking) assert.equal(acceptance.kind, 'pending');
+      const isKnownEverywhere = live.every(
+        (entry) => entry.isHeard && entry.revision - entry.lag >= revision,
+      );
+      if (isKnownEverywhere && ownRevision >= revision) assert.equal(acceptance.kind, 'accepted');
     },
   );
   fc.assert(property, { seed: SEED, numRuns: RUNS });
--- a/src/controllers/configuration/acceptance.ts
+++ b/src/controllers/configuration/acceptance.ts
@@ -1,89 +1,94 @@
 /**
- * When a change of configuration holds everywhere.
+ * Determines when a configuration change is in force on every live entry.
  *
- * The failure guarded against: an operator is told "accepted" while some entry still serves by the
- * older configuration. Every live entry counts: those in the platform's list and those heard
- * lately. An entry of the list that can't be heard is counted as lacking the change until the
- * platform lists it no more or as leaving: a cut-off entry may still be serving callers, and
- * nobody on this side can tell that from an entry that died. Only one that said that it stops is let
- * go before the list has noticed: when it starts again, it catches up before it takes callers.
+ * Prevents "accepted" from being reported while some entry still serves with an older configuration.
+ * An entry that is listed but unreachable counts as lagging until the platform removes it or lists
+ * it as leaving, because it may be isolated and still serving callers. An entry that has announced
+ * its stop doesn't count: after a restart it catches up before it serves callers.
  */
 import type { Fleet, Peer } from '../../board/index.js';
 import type { SummaryRecord } from '../membership/gossip.js';
 
-/** What acceptance of `revision` is judged from. */
-export interface AcceptanceQuestion {
+/** The information from which acceptance of `revision` is determined. */
+export interface AcceptanceInput {
   revision: number;
   self: { name: string; failureDomain: string; revision: number };
   fleet: Fleet;
-  /** Entries heard lately. */
+  /** Entries heard recently. */
   peers: ReadonlyMap<string, Peer>;
-  /** Of failure domains whose entries are not known one by one. */
+  /** Summaries of failure domains whose entries are not known individually. */
   summaries: readonly SummaryRecord[];
-  /** Entries that said that they stop and are heard no more. */
+  /** Entries that announced their stop and are no longer heard. */
   departed: ReadonlySet<string>;
 }
 
-/** An entry that does not have the change in force, as far as is known here. */
+/** An entry on which, as far as this entry knows, the change is not in force. */
 export interface LaggingEntry {
   name: string;
-  /** What it last reported; absent when it is not heard. */
+  /** The last reported revision; absent if the entry is not heard. */
   revision?: number;
 }
 
 export type Acceptance = { kind: 'accepted' } | { kind: 'pending'; lagging: LaggingEntry[] };
 
 /**
- * Whether `revision` is in force at every live entry, else who lacks it.
+ * Returns whether `revision` is in force on every live entry, or else which entries are lagging.
  *
  * @example judgeAcceptance({ revision: 12, self, fleet, peers, summaries, departed }).kind
  */
-export function judgeAcceptance(question: AcceptanceQuestion): Acceptance {
-  const lagging = [...listOwnLag(question), ...listListed(question), ...listHeard(question)];
+export function judgeAcceptance(input: AcceptanceInput): Acceptance {
+  const lagging = [
+    ...findLaggingSelf(input),
+    ...findLaggingListed(input),
+    ...findLaggingPeers(input),
+  ];
   lagging.sort((a, b) => (a.name < b.name ? -1 : 1));
   return lagging.length === 0 ? { kind: 'accepted' } : { kind: 'pending', lagging };
 }
 
-function listOwnLag({ self, revision }: AcceptanceQuestion): LaggingEntry[] {
+function findLaggingSelf({ self, revision }: AcceptanceInput): LaggingEntry[] {
   return self.revision >= revision ? [] : [{ name: self.name, revision: self.revision }];
 }
 
-function listListed(question: AcceptanceQuestion): LaggingEntry[] {
-  const { revision, self, fleet, peers, departed } = question;
+function findLaggingListed(input: AcceptanceInput): LaggingEntry[] {
+  const { revision, self, fleet, peers, departed } = input;
   const lagging: LaggingEntry[] = [];
   for (const [name, instance] of fleet.instances) {
     if (instance.role !== 'entry' || name === self.name || peers.has(name)) continue;
-    // The balancer sends nobody to a leaving entry, and it can't be asked any more.
+    // The balancer sends no callers to a leaving entry, and the entry can't be reached any more.
     if (instance.state === 'leaving' || departed.has(name)) continue;
-    if (findCover(question, instance.failureDomain) !== undefined) continue;
-    lagging.push({ name, ...findReported(question, name) });
+    if (findCoveringSummary(input, instance.failureDomain) !== undefined) continue;
+    lagging.push({ name, ...findReportedRevision(input, name) });
   }
   return lagging.filter((entry) => entry.revision === undefined || entry.revision < revision);
 }
 
-/** The summary that says that all live entries of another failure domain have the change. */
-function findCover(question: AcceptanceQuestion, domain: string): SummaryRecord | undefined {
-  const { summaries, revision, self } = question;
-  if (domain === self.failureDomain) return undefined;
+/** Finds a summary showing that all live entries of another failure domain have the change. */
+function findCoveringSummary(
+  input: AcceptanceInput,
+  failureDomain: string,
+): SummaryRecord | undefined {
+  const { summaries, revision, self } = input;
+  if (failureDomain === self.failureDomain) return undefined;
   return summaries.find(
-    ({ summary }) => summary.failureDomain === domain && summary.revision >= revision,
+    ({ summary }) => summary.failureDomain === failureDomain && summary.revision >= revision,
   );
 }
 
-function findReported({ summaries }: AcceptanceQuestion, name: string): { revision?: number } {
+function findReportedRevision({ summaries }: AcceptanceInput, name: string): { revision?: number } {
   for (const { summary } of summaries) {
-    const found = summary.behind.find((entry) => entry.name === name);
-    if (found?.revision !== undefined) return { revision: found.revision };
+    const lagging = summary.behind.find((entry) => entry.name === name);
+    if (lagging?.revision !== undefined) return { revision: lagging.revision };
   }
   return {};
 }
 
-function listHeard(question: AcceptanceQuestion): LaggingEntry[] {
-  const lagging = [...question.peers.values()].filter((peer) => {
-    if (peer.configurationRevision >= question.revision) return false;
-    // In a large fleet an entry of another domain is heard by chance; a later summary knows more.
-    const cover = findCover(question, peer.failureDomain);
-    return cover === undefined || cover.madeAt < peer.heardAt;
+function findLaggingPeers(input: AcceptanceInput): LaggingEntry[] {
+  const lagging = [...input.peers.values()].filter((peer) => {
+    if (peer.configurationRevision >= input.revision) return false;
+    // Entries of other domains are heard only occasionally in a large fleet, so a later summary wins.
+    const record = findCoveringSummary(input, peer.failureDomain);
+    return record === undefined || record.madeAt < peer.heardAt;
   });
   return lagging.map((peer) => ({ name: peer.name, revision: peer.configurationRevision }));
 }
--- a/src/controllers/configuration/merge.ts
+++ b/src/controllers/configuration/merge.ts
@@ -1,49 +1,48 @@
 /**
- * Merging of object versions from the platform and from peers.
+ * Merges object versions from the platform and from peers.
  *
- * The state is a join: for each object the highest version seen and the highest valid version
- * seen. Merging is commutative and idempotent and never goes back, whoever offers the objects: the
- * platform's current copy, an old copy of it after a failover, or a peer that lags.
+ * The state is a join: the highest version and the highest valid version seen of each object.
+ * Merging is commutative, idempotent and monotonic, so an outdated copy of the platform or a lagging
+ * peer can't revert a change.
  */
 import { OBJECT_SCHEMAS, type StoredObject } from '../../objects/index.js';
 import {
   KEPT_KINDS,
   type ChangePage,
-  type KeptKind,
+  type WatchedKind,
   type ObjectChanges,
   type ObjectRecord,
   type ObjectState,
 } from './types.js';
 
-/** Objects in one page for a peer; a page may be longer by the objects of one version. */
-const PAGE_OBJECTS = 400;
+/** Number of objects per page. A page may exceed it, as it never splits objects of one version. */
+const PAGE_SIZE = 400;
 
 /** The only name that a policy object may have. */
 export const POLICY_NAME = 'default';
 
-/** A state that has seen nothing. */
+/** Creates an empty state. */
 export function createObjectState(): ObjectState {
   return { revision: 0, records: new Map() };
 }
 
-/** The key of an object in {@link ObjectState.records}. */
-export function keyObject(kind: string, name: string): string {
+/** Returns the key of an object in {@link ObjectState.records}. */
+export function objectKey(kind: string, name: string): string {
   return `${kind}/${name}`;
 }
 
 /**
- * The state after `changes`; the same state when they bring nothing new.
+ * Returns the state after `changes`, or the same state if they contain nothing new.
  *
- * The revision moves only when the changes start at or before it. A gap between the two would mean
- * that changes in between were never seen: an entry would report a revision in force whose change
- * it lacks, and the operator would be told "accepted" too early.
+ * The revision advances only if the changes start at or before it. Otherwise the changes in between
+ * are missing, and a change could be reported as accepted before it is in force.
  *
  * @example const next = mergeObjects(state, { since: 0, revision: 7, objects });
  */
 export function mergeObjects(state: ObjectState, changes: ObjectChanges): ObjectState {
   const records = mergeRecords(state.records, changes.objects);
-  const connected = changes.since <= state.revision;
-  const revision = connected ? Math.max(state.revision, changes.revision) : state.revision;
+  const isContiguous = changes.since <= state.revision;
+  const revision = isContiguous ? Math.max(state.revision, changes.revision) : state.revision;
   if (records === state.records && revision === state.revision) return state;
   return { revision, records };
 }
@@ -54,8 +53,8 @@
 ): ReadonlyMap<string, ObjectRecord> {
   let next: Map<string, ObjectRecord> | undefined;
   for (const object of objects) {
-    if (!isKept(object.kind)) continue;
-    const key = keyObject(object.kind, object.name);
+    if (!isWatchedKind(object.kind)) continue;
+    const key = objectKey(object.kind, object.name);
     const before = (next ?? records).get(key);
     const after = mergeRecord(before, object);
     if (after === before) continue;
@@ -65,14 +64,14 @@
   return next ?? records;
 }
 
-function isKept(kind: string): kind is KeptKind {
+function isWatchedKind(kind: string): kind is WatchedKind {
   return (KEPT_KINDS as readonly string[]).includes(kind);
 }
 
 function mergeRecord(before: ObjectRecord | undefined, object: StoredObject): ObjectRecord {
   const rejection = explainRejection(object);
   if (before === undefined) return createRecord(object, rejection);
-  // A version below the valid one that is in force is of no use to anybody.
+  // Versions up to the valid one in force are obsolete.
   if (before.valid !== undefined && object.version <= before.valid.version) return before;
   if (object.version === before.newest.version) return before;
   const isNewest = object.version > before.newest.version;
@@ -88,7 +87,7 @@
     : { newest: object, rejection };
 }
 
-/** Why `object` must not be put in force, or undefined when it is valid. */
+/** Returns why `object` must not be put in force, or undefined if it is valid. */
 function explainRejection(object: StoredObject): string | undefined {
   if (object.deleted) return undefined;
   if (object.kind === 'policy' && object.name !== POLICY_NAME) {
@@ -101,47 +100,50 @@
 }
 
 /**
- * What a peer that has everything up to `since` still needs, oldest first.
+ * Returns a page of the changes after `since`, oldest first.
  *
- * For an object whose newest version was rejected both versions are given, so that an entry that
- * starts later puts the same valid version in force as the others.
+ * For an object whose newest version was rejected, the page contains the valid version too, so that
+ * an entry that starts later puts the same version in force as the others.
  */
 export function exportChanges(
   state: ObjectState,
   since: number,
-  limit: number = PAGE_OBJECTS,
+  limit: number = PAGE_SIZE,
 ): ChangePage {
-  const changed = [...state.records.values()]
+  const changedRecords = [...state.records.values()]
     .filter((record) => record.newest.version > since)
     .sort((a, b) => a.newest.version - b.newest.version);
-  const cut = findPageEnd(changed, limit);
-  const page = changed.slice(0, cut);
-  const more = cut < changed.length;
-  const last = page.at(-1)?.newest.version ?? state.revision;
+  const pageEnd = findPageEnd(changedRecords, limit);
+  const page = changedRecords.slice(0, pageEnd);
+  const more = pageEnd < changedRecords.length;
+  const lastVersion = page.at(-1)?.newest.version ?? state.revision;
   return {
     since,
-    revision: more ? last : Math.max(state.revision, since),
+    revision: more ? lastVersion : Math.max(state.revision, since),
     objects: page.flatMap(listVersions),
     more,
   };
 }
 
 /**
- * From which revision to ask a peer. Objects of which no valid version was ever seen here are asked
- * for again: the platform keeps only their newest, invalid version, and a peer that has been up for
- * longer may still have the valid one before it in force.
+ * Returns the revision from which to request changes from a peer. Objects without a known valid
+ * version are requested again: the platform keeps only their newest, invalid version, but a peer that
+ * has run for longer may still have an earlier valid one in force.
  */
 export function findPullStart(state: ObjectState): number {
-  const gaps = [...state.records.values()].filter((record) => record.valid === undefined);
-  return Math.min(state.revision, ...gaps.map((record) => record.newest.version - 1));
+  const recordsWithoutValid = [...state.records.values()].filter(
+    (record) => record.valid === undefined,
+  );
+  return Math.min(
+    state.revision,
+    ...recordsWithoutValid.map((record) => record.newest.version - 1),
+  );
 }
 
 /**
- * The newest object version seen. It is beyond the revision after a write of this entry's own
- * operator until the platform's watch has brought what was written before. The failure guarded
- * against: the platform answers from an old copy just then, and the change, which an operator was
- * told has been taken, would be in force at this one entry alone for as long as that lasts. Peers
- * that see the version in a digest fetch the object.
+ * Returns the newest object version seen. It exceeds the revision after a write through this entry
+ * until the platform's watch catches up. Digests announce it so that peers fetch the object even while
+ * the platform answers from an outdated copy.
  */
 export function findNewest({ records }: ObjectState): number {
   let newest = 0;
@@ -149,15 +151,15 @@
   return newest;
 }
 
-/** Objects of one version stay on one page: the next page starts after that version. */
-function findPageEnd(changed: readonly ObjectRecord[], limit: number): number {
-  let end = Math.min(limit, changed.length);
-  while (end < changed.length && versionAt(changed, end) === versionAt(changed, end - 1)) end += 1;
+/** Keeps objects of one version on one page, because the next page starts after that version. */
+function findPageEnd(records: readonly ObjectRecord[], limit: number): number {
+  let end = Math.min(limit, records.length);
+  while (end < records.length && versionAt(records, end) === versionAt(records, end - 1)) end += 1;
   return end;
 }
 
-function versionAt(changed: readonly ObjectRecord[], index: number): number | undefined {
-  return changed[index]?.newest.version;
+function versionAt(records: readonly ObjectRecord[], index: number): number | undefined {
+  return records[index]?.newest.version;
 }
 
 function listVersions(record: ObjectRecord): StoredObject[] {
--- a/src/controllers/configuration/readiness.ts
+++ b/src/controllers/configuration/readiness.ts
@@ -1,64 +1,63 @@
 /**
- * Whether this entry's configuration is good enough to be given callers.
+ * Determines whether this entry's configuration is current enough to serve callers.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 
-/** What readiness is judged from. Instants that never came are negative infinity. */
-export interface ReadinessQuestion {
+/** The information from which readiness is determined. Times are negative infinity if unknown. */
+export interface ReadinessInput {
   startedAt: Milliseconds;
   /** When the platform last confirmed the configuration. */
   platformAt: Milliseconds;
-  /** When any other entry was last heard. */
+  /** When another entry was last heard. */
   peerAt: Milliseconds;
-  /** An entry that was ready was heard, and what it had in force is in force here. */
+  /** Whether the configuration of an entry that was ready is in force here. */
   caughtUp: boolean;
-  /** Other entries are known, from the settings or the platform's list. */
+  /** Whether other entries are known from the settings or the platform's list. */
   hasPeers: boolean;
   revision: number;
-  /** Without word from platform and peers for longer, the entry is cut off. */
+  /** Time without contact to the platform and peers after which the entry counts as isolated. */
   isolationMs: Milliseconds;
-  /** How long a starting entry waits for a ready peer when the platform has answered. */
+  /** How long a starting entry waits for a ready peer if the platform has answered. */
   startupMs: Milliseconds;
 }
 
 export type Readiness = { kind: 'ready' } | { kind: 'notReady'; reason: string };
 
 /**
- * Readiness as far as configuration goes.
+ * Returns the readiness of this entry with regard to its configuration.
  *
- * Two failures are guarded against. A starting entry that reads an old copy of the platform would
- * bring an older configuration back to the callers it is given: so it first catches up with a peer
- * that is ready, and takes the platform's word alone only when no peer answers. An entry that hears
- * nobody may be serving by a configuration that has been replaced: so it asks the balancer to take
- * its callers elsewhere.
+ * The platform may answer from an outdated copy, so a starting entry first catches up with a ready
+ * peer and relies on the platform alone only if no peer answers. An isolated entry is not ready,
+ * because its configuration may have been replaced.
  */
-export function judgeReadiness(question: ReadinessQuestion, now: Milliseconds): Readiness {
-  const { platformAt, peerAt, revision, caughtUp, hasPeers } = question;
-  const hasAnswer = platformAt > Number.NEGATIVE_INFINITY;
-  if (!hasAnswer && revision === 0) return refuse('it has no configuration yet');
-  const mayStartAlone = hasAnswer && (!hasPeers || now - question.startedAt >= question.startupMs);
-  if (!caughtUp && !mayStartAlone) return refuse('it has not caught up with another entry yet');
-  if (now - Math.max(platformAt, peerAt) > question.isolationMs) {
-    return refuse('it hears neither the platform nor any other entry');
+export function judgeReadiness(input: ReadinessInput, now: Milliseconds): Readiness {
+  const { platformAt, peerAt, revision, caughtUp, hasPeers } = input;
+  const hasPlatformAnswered = platformAt > Number.NEGATIVE_INFINITY;
+  if (!hasPlatformAnswered && revision === 0) return notReady('it has no configuration yet');
+  const mayStartAlone =
+    hasPlatformAnswered && (!hasPeers || now - input.startedAt >= input.startupMs);
+  if (!caughtUp && !mayStartAlone) return notReady('it has not caught up with another entry yet');
+  if (now - Math.max(platformAt, peerAt) > input.isolationMs) {
+    return notReady('it hears neither the platform nor any other entry');
   }
   return { kind: 'ready' };
 }
 
-function refuse(reason: string): Readiness {
+function notReady(reason: string): Readiness {
   return { kind: 'notReady', reason };
 }
 
-/** Of the isolation bound, the part after which silence is broken by a call to the platform. */
+/** Fraction of the isolation time after which the platform is probed. */
 const PROBE_FRACTION = 1 / 3;
 
 /**
- * Whether the platform has to be asked now, though its watch is waiting: nothing was heard for a
- * while, and a waiting watch does not tell whether the platform is still there.
+ * Whether to probe the platform because nothing was heard for a while. A pending watch doesn't show
+ * whether the platform is still reachable.
  */
 export function shouldProbePlatform(
-  heardAt: Milliseconds,
+  lastContactAt: Milliseconds,
   isolationMs: Milliseconds,
   now: Milliseconds,
 ): boolean {
-  return now - heardAt > isolationMs * PROBE_FRACTION;
+  return now - lastContactAt > isolationMs * PROBE_FRACTION;
 }
--- a/src/controllers/configuration/sections.ts
+++ b/src/controllers/configuration/sections.ts
@@ -1,5 +1,5 @@
 /**
- * From the kept objects to what stands on the board.
+ * Builds the sections of the board from the object state.
  */
 import type { Configuration, RejectedObject, Versioned } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
@@ -11,10 +11,10 @@
   workspaceSchema,
   type Instance,
 } from '../../objects/index.js';
-import { keyObject, POLICY_NAME } from './merge.js';
-import type { KeptKind, ObjectState } from './types.js';
+import { objectKey, POLICY_NAME } from './merge.js';
+import type { WatchedKind, ObjectState } from './types.js';
 
-/** The list of instances as the platform last gave it. */
+/** The platform's list of instances at a revision. */
 export interface InstanceList {
   revision: number;
   instances: ReadonlyMap<string, Versioned<Instance>>;
@@ -24,7 +24,7 @@
   parse(value: unknown): Value;
 }
 
-/** The `configuration` section for `state`. */
+/** Builds the `configuration` section from `state`. */
 export function composeConfiguration(state: ObjectState, confirmedAt: Milliseconds): Configuration {
   return {
     revision: state.revision,
@@ -37,7 +37,7 @@
   };
 }
 
-/** The platform's list of instances in `state`. */
+/** Builds the platform's list of instances from `state`. */
 export function composeInstances(state: ObjectState): InstanceList {
   return {
     revision: state.revision,
@@ -47,7 +47,7 @@
 
 function collectValues<Value>(
   state: ObjectState,
-  kind: KeptKind,
+  kind: WatchedKind,
   parser: Parser<Value>,
 ): Map<string, Versioned<Value>> {
   const values = new Map<string, Versioned<Value>>();
@@ -59,7 +59,7 @@
 }
 
 function resolvePolicy(state: ObjectState): Configuration['policy'] {
-  const valid = state.records.get(keyObject('policy', POLICY_NAME))?.valid;
+  const valid = state.records.get(objectKey('policy', POLICY_NAME))?.valid;
   return policySchema.parse(valid === undefined || valid.deleted ? {} : valid.value);
 }
 
--- a/src/controllers/configuration/types.ts
+++ b/src/controllers/configuration/types.ts
@@ -1,31 +1,31 @@
 /**
- * The objects that every entry keeps in memory: configuration and the platform's list of instances.
+ * The objects that every entry holds in memory: configuration and the platform's list of instances.
  */
 import type { ConfigurationKind, StoredObject } from '../../objects/index.js';
 
-/** The kinds that every entry keeps; one watch brings them all. */
+/** The kinds of objects that every entry holds; a single watch covers all of them. */
 export const KEPT_KINDS = ['model', 'service', 'workspace', 'policy', 'instance'] as const;
-export type KeptKind = ConfigurationKind | 'instance';
+export type WatchedKind = ConfigurationKind | 'instance';
 
-/** What is kept of one object. */
+/** The relevant versions of one object. */
 export interface ObjectRecord {
   /** The highest version seen, valid or not; may be a tombstone. */
   newest: StoredObject;
-  /** The highest version seen that is valid; this one is in force. A tombstone is valid. */
+  /** The highest valid version seen, which is in force. Tombstones are valid. */
   valid?: StoredObject;
-  /** Why the newest version is not in force; absent when it is. */
+  /** Why the newest version was rejected; absent if it is in force. */
   rejection?: string;
 }
 
-/** All kept objects of one entry. Replaced as a whole, never changed in place. */
+/** All objects held by one entry. Immutable. */
 export interface ObjectState {
-  /** Every change up to this revision of the platform has been merged. Never falls. */
+  /** All changes up to this revision of the platform have been merged. Never decreases. */
   revision: number;
-  /** By {@link keyObject}. */
+  /** By {@link objectKey}. */
   records: ReadonlyMap<string, ObjectRecord>;
 }
 
-/** Changes as the platform or a peer offers them: all that came after `since`, up to `revision`. */
+/** All changes after `since` up to `revision`, from the platform or a peer. */
 export interface ObjectChanges {
   since: number;
   revision: number;
@@ -34,6 +34,6 @@
 
 /** One page of changes for a peer. */
 export interface ChangePage extends ObjectChanges {
-  /** There are changes after `revision`: ask again from there. */
+  /** Whether there are changes after `revision`, to be requested as the next page. */
   more: boolean;
 }
--- a/src/controllers/configuration/validate.ts
+++ b/src/controllers/configuration/validate.ts
@@ -1,8 +1,8 @@
 /**
- * Checks of what an operator proposes, before it is written: the kind's schema, then what an
- * object must not have in common with the others. Each fault names key, value and fix.
+ * Validates an object before it is written: first against the schema of its kind, then for conflicts
+ * with other objects. Each fault contains the key, the value and a fix.
  *
- * Warnings don't refuse: instances come and go, so what can't be served now may be wanted soon.
+ * A mismatch with the current instances is only a warning, because instances come and go.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { Configuration, Fleet } from '../../board/index.js';
@@ -20,66 +20,72 @@
 } from '../../objects/index.js';
 import { POLICY_NAME } from './merge.js';
 
-/** An object that somebody wants to write. */
+/** An object that is to be written. */
 export interface ProposedObject {
   kind: ConfigurationKind;
   name: string;
   value: unknown;
 }
 
-/** What the proposal is checked against. */
-export interface ValidationView {
+/** The configuration and fleet against which an object is validated. */
+export interface ValidationContext {
   configuration: Configuration;
   fleet: Fleet;
 }
 
-/** A proposal that may be written. */
+/** An object that passed validation. */
 export interface ValidObject {
-  /** With the schema's defaults filled in. */
+  /** The value with the schema's defaults applied. */
   value: unknown;
   warnings: readonly SettingsFault[];
 }
 
 /**
- * The value to write, or every fault found.
+ * Returns the value to write with its warnings, or all faults.
  *
  * @example validateObject({ kind: 'model', name: 'pass-assistant', value }, board).isErr()
  */
 export function validateObject(
   proposed: ProposedObject,
-  view: ValidationView,
+  context: ValidationContext,
 ): Result<ValidObject, readonly SettingsFault[]> {
   const parsed = OBJECT_SCHEMAS[proposed.kind].safeParse(proposed.value);
   if (!parsed.success) return err(describeIssues(parsed.error, proposed.value));
-  const faults = listFaults({ ...proposed, value: parsed.data }, view);
+  const faults = listFaults({ ...proposed, value: parsed.data }, context);
   if (faults.length > 0) return err(faults);
   return ok({
     value: parsed.data,
-    warnings: listWarnings({ ...proposed, value: parsed.data }, view),
+    warnings: listWarnings({ ...proposed, value: parsed.data }, context),
   });
 }
 
-function listFaults(proposed: ProposedObject, view: ValidationView): SettingsFault[] {
-  const { configuration } = view;
+function listFaults(proposed: ProposedObject, context: ValidationContext): SettingsFault[] {
+  const { configuration } = context;
   switch (proposed.kind) {
     case 'model':
-      return checkNameFree(proposed.name, 'service', configuration.services);
+      return checkNameConflict(proposed.name, 'service', configuration.services);
     case 'service':
-      return checkNameFree(proposed.name, 'model', configuration.models);
+      return checkNameConflict(proposed.name, 'model', configuration.models);
     case 'workspace':
-      return checkKeys(proposed.name, workspaceSchema.parse(proposed.value), configuration);
+      return checkKeyConflicts(proposed.name, workspaceSchema.parse(proposed.value), configuration);
     case 'policy':
       return checkPolicyName(proposed.name);
   }
 }
 
-function checkNameFree(
+function checkNameConflict(
   name: string,
   otherKind: string,
   others: ReadonlyMap<string, unknown>,
 ): SettingsFault[] {
   if (!others.has(name)) return [];
-  return [{ key: 'name', value: name, fix: `choose another name: there is a ${otherKind} of it` }];
+  return [
+    {
+      key: 'name',
+      value: name,
+      fix: `choose another name: a ${otherKind} with this name already exists`,
+    },
+  ];
 }
 
 function checkPolicyName(name: string): SettingsFault[] {
@@ -87,8 +93,8 @@
   return [{ key: 'name', value: name, fix: `there is one policy, named "${POLICY_NAME}"` }];
 }
 
-/** A key that two workspaces share would make it a matter of chance who is charged for a request. */
-function checkKeys(
+/** Requests with a key shared by two workspaces couldn't be assigned to one of them. */
+function checkKeyConflicts(
   name: string,
   workspace: Workspace,
   { workspaces }: Configuration,
@@ -101,44 +107,55 @@
     const owner = owners.get(hash);
     owners.set(hash, name);
     if (owner === undefined) return [];
-    const fix = `remove it: workspace "${owner}" has this key already`;
+    const fix = `remove it: workspace "${owner}" already has this key`;
     return [{ key: `keyHashes.${index}`, value: hash, fix }];
   });
 }
 
-function listWarnings(proposed: ProposedObject, { fleet }: ValidationView): SettingsFault[] {
+function listWarnings(proposed: ProposedObject, { fleet }: ValidationContext): SettingsFault[] {
   switch (proposed.kind) {
     case 'model':
-      return warnOfModel(modelSchema.parse(proposed.value), fleet);
+      return checkModelCapacity(modelSchema.parse(proposed.value), fleet);
     case 'service':
-      return warnOfSelector(serviceSchema.parse(proposed.value).selector, 'service', fleet);
+      return checkSelectorMatches(serviceSchema.parse(proposed.value).selector, 'service', fleet);
     case 'workspace':
     case 'policy':
       return [];
   }
 }
 
-function warnOfSelector(selector: Selector, role: Instance['role'], fleet: Fleet): SettingsFault[] {
+function checkSelectorMatches(
+  selector: Selector,
+  role: Instance['role'],
+  fleet: Fleet,
+): SettingsFault[] {
   if (listMatching(selector, role, fleet).length > 0) return [];
   return [
-    { key: 'selector', value: JSON.stringify(selector), fix: `no ${role} instance matches it now` },
+    {
+      key: 'selector',
+      value: JSON.stringify(selector),
+      fix: `no ${role} instance currently matches it`,
+    },
   ];
 }
 
-function warnOfModel(model: Model, fleet: Fleet): SettingsFault[] {
-  const possible = countPossibleReplicas(model, fleet);
-  if (possible >= model.replicas) return [];
-  const fix = `the fabric domains now have room for ${possible} replicas of ${model.replicaSize}`;
+function checkModelCapacity(model: Model, fleet: Fleet): SettingsFault[] {
+  const possibleReplicas = countPossibleReplicas(model, fleet);
+  if (possibleReplicas >= model.replicas) return [];
+  const fix = `the fabric domains currently have capacity for ${possibleReplicas} replicas of size ${model.replicaSize}`;
   return [{ key: 'replicas', value: String(model.replicas), fix }];
 }
 
-/** A replica may not span fabric domains, so what is left over in each of them counts for nothing. */
+/** A replica can't span fabric domains, so leftover instances in each of them aren't usable. */
 function countPossibleReplicas({ selector, replicaSize }: Model, fleet: Fleet): number {
-  const sizes = new Map<string, number>();
+  const instanceCounts = new Map<string, number>();
   for (const { fabricDomain = '' } of listMatching(selector, 'engine', fleet)) {
-    sizes.set(fabricDomain, (sizes.get(fabricDomain) ?? 0) + 1);
+    instanceCounts.set(fabricDomain, (instanceCounts.get(fabricDomain) ?? 0) + 1);
   }
-  return [...sizes.values()].reduce((sum, size) => sum + Math.floor(size / replicaSize), 0);
+  return [...instanceCounts.values()].reduce(
+    (sum, count) => sum + Math.floor(count / replicaSize),
+    0,
+  );
 }
 
 function listMatching(selector: Selector, role: Instance['role'], fleet: Fleet): Instance[] {
