--- a/src/controllers/quarantine/quarantine-table.ts
+++ b/src/controllers/quarantine/quarantine-table.ts
@@ -1,31 +1,32 @@
 /**
- * Requests under which backend servers end, and those of them that are sent to no more.
+ * Tracks requests during which backend servers fail, and quarantines those that cause it repeatedly.
  *
- * Guards against a request that ends each backend server which runs it. Its caller comes back with new
- * attempts at any gateway; taken as new, each attempt ends more servers, and all that is under way
- * there breaks off. A request is known by its fingerprint, and gateways count together.
+ * A request that makes every backend server fail could otherwise take down one after another, because
+ * its caller retries at any gateway. Requests are identified by their fingerprint, and gateways share
+ * their reports.
  *
- * Others that were at the same servers aren't to blame. What is answered after all is cleared, and an
- * end counts against no other request once one is in quarantine that was at this end and at as many.
+ * Other requests on the failed servers must not be quarantined too: an answer clears a request, and
+ * a failure doesn't count against it if a quarantined request was involved in this failure and in at
+ * least as many.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { RequestReport, ToldQuarantine } from './types.js';
 
-/** Servers that end under a request before it is kept from the others. */
-const ENDS_UNTIL_QUARANTINE = 3;
+/** Number of unattributed failures after which a request is quarantined. */
+const FAILURES_UNTIL_QUARANTINE = 3;
 const QUARANTINE_MS: Milliseconds = 600_000;
-/** Longer than a quarantine, so that one more end after it is enough for the next. */
-const REMEMBER_ENDS_MS: Milliseconds = 1_200_000;
-/** Reports of one server's end differ by the way of the news; it takes longer to end again. */
-const SAME_END_MS: Milliseconds = 2_000;
-/** Own reports are told for as long: several exchanges at the slowest pace. */
-const TELL_REPORTS_MS: Milliseconds = 3_000;
-const MOST_REPORTS_TOLD = 200;
-const MOST_QUARANTINED_TOLD = 100;
-/** Requests remembered; the oldest that isn't in quarantine makes room. */
-const MOST_RECORDS = 5_000;
-
-interface ServerEnd {
+/** Exceeds the quarantine, so that a single failure after it starts the next one. */
+const FAILURE_RETENTION_MS: Milliseconds = 1_200_000;
+/** Reports of one server within this time refer to the same failure. A restart takes longer. */
+const SAME_FAILURE_WINDOW_MS: Milliseconds = 2_000;
+/** How long own reports are shared; covers several exchanges at the longest interval. */
+const REPORT_SHARING_MS: Milliseconds = 3_000;
+const MAX_SHARED_REPORTS = 200;
+const MAX_SHARED_QUARANTINES = 100;
+/** Maximum number of tracked requests. Beyond it, the oldest without a quarantine is evicted. */
+const MAX_RECORDS = 5_000;
+
+interface ServerFailure {
   server: string;
   at: Milliseconds;
 }
@@ -36,8 +37,8 @@
 }
 
 interface RequestRecord {
-  ends: ServerEnd[];
-  /** Ends before this count for nothing. */
+  failures: ServerFailure[];
+  /** When the request was last answered. Earlier failures don't count. */
   answeredAt: Milliseconds;
   quarantine: Quarantine | undefined;
 }
@@ -47,129 +48,146 @@
   at: Milliseconds;
 }
 
-/** Changed in place, owned by one shell. */
+/** The suspect and quarantined requests known to one gateway. */
 export class QuarantineTable {
   private readonly records = new Map<string, RequestRecord>();
-  /** Fingerprints of the records with a quarantine, in force or lapsed. */
+  /** Fingerprints of the records with an active or expired quarantine. */
   private readonly quarantined = new Set<string>();
-  private own: OwnReport[] = [];
+  private ownReports: OwnReport[] = [];
 
-  /** Requests that are remembered. */
+  /** Number of tracked requests. */
   get size(): number {
     return this.records.size;
   }
 
-  /** Something seen here; true when that quarantines the request. */
+  /** Records a report of this gateway; returns whether it quarantines the request. */
   record(report: RequestReport, now: Milliseconds): boolean {
-    // Of a request that nothing is held against, each answer would be told to all.
-    if (report.kind === 'answered' && !this.isHeld(report.fingerprint)) return false;
-    const reports = [...this.own, { report, at: now - report.ageMs }];
-    this.own = reports.slice(-MOST_REPORTS_TOLD);
+    // Answers to requests that aren't suspect need not be shared.
+    if (report.kind === 'answered' && !this.isSuspect(report.fingerprint)) return false;
+    const reports = [...this.ownReports, { report, at: now - report.ageMs }];
+    this.ownReports = reports.slice(-MAX_SHARED_REPORTS);
     return this.learn(report, now);
   }
 
-  /** Something that was seen, here or elsewhere; true when that quarantines the request. */
+  /** Applies a report of any gateway; returns whether it quarantines the request. */
   learn(report: RequestReport, now: Milliseconds): boolean {
     const at = now - report.ageMs;
     switch (report.kind) {
       case 'answered':
-        this.clear(report.fingerprint, at);
+        this.clearUntil(report.fingerprint, at);
         return false;
       case 'serverEnded':
-        return this.takeEnd(report.fingerprint, { server: report.server, at }, now);
+        return this.addFailure(report.fingerprint, { server: report.server, at }, now);
     }
   }
 
-  /** Another gateway keeps a request from all servers; true when that is news. */
+  /** Applies a quarantine of another gateway; returns whether it was unknown here. */
   learnQuarantine({ fingerprint, ageMs, leftMs }: ToldQuarantine, now: Milliseconds): boolean {
     const since = now - ageMs;
     const record = this.records.get(fingerprint);
     if (record && record.answeredAt >= since) return false;
     if (this.leftMs(fingerprint, now) !== undefined || leftMs <= 0) return false;
     const until = now + Math.min(leftMs, QUARANTINE_MS);
-    this.quarantine(fingerprint, this.open(fingerprint), { since, until });
+    this.startQuarantine(fingerprint, this.getOrCreateRecord(fingerprint), { since, until });
     return true;
   }
 
-  /** For how long the request is still kept from all servers; undefined when it may be sent. */
+  /** Remaining time of the request's quarantine; undefined if the request may be sent. */
   leftMs(fingerprint: string, now: Milliseconds): Milliseconds | undefined {
     const until = this.records.get(fingerprint)?.quarantine?.until;
     return until !== undefined && until > now ? until - now : undefined;
   }
 
-  /** What was seen here lately, to be told to other gateways. */
+  /** Recent reports of this gateway, to be shared with other gateways. */
   listOwnReports(now: Milliseconds): RequestReport[] {
-    this.own = this.own.filter(({ at }) => now - at <= TELL_REPORTS_MS);
-    return this.own.map(({ report, at }) => ({ ...report, ageMs: Math.round(now - at) }));
+    this.ownReports = this.ownReports.filter(({ at }) => now - at <= REPORT_SHARING_MS);
+    return this.ownReports.map(({ report, at }) => ({
+      ...report,
+      ageMs: Math.round(now - at),
+    }));
   }
 
-  /** All requests in quarantine, those that others told included. */
+  /** Quarantined requests, including those learned from other gateways. */
   listQuarantined(now: Milliseconds): ToldQuarantine[] {
-    const told: ToldQuarantine[] = [];
+    const notices: ToldQuarantine[] = [];
     for (const fingerprint of this.quarantined) {
       const quarantine = this.records.get(fingerprint)?.quarantine;
       const leftMs = this.leftMs(fingerprint, now);
       if (quarantine === undefined || leftMs === undefined) continue;
       const ageMs = Math.round(now - quarantine.since);
-      told.push({ fingerprint, ageMs, leftMs: Math.round(leftMs) });
+      notices.push({ fingerprint, ageMs, leftMs: Math.round(leftMs) });
     }
-    return told.slice(-MOST_QUARANTINED_TOLD);
+    return notices.slice(-MAX_SHARED_QUARANTINES);
   }
 
-  /** Whether anything is held against the request. */
-  private isHeld(fingerprint: string): boolean {
+  /** Whether the request has recorded failures or a quarantine. */
+  private isSuspect(fingerprint: string): boolean {
     const record = this.records.get(fingerprint);
-    return record !== undefined && (record.ends.length > 0 || record.quarantine !== undefined);
+    return record !== undefined && (record.failures.length > 0 || record.quarantine !== undefined);
   }
 
-  private clear(fingerprint: string, at: Milliseconds): void {
+  private clearUntil(fingerprint: string, at: Milliseconds): void {
     const record = this.records.get(fingerprint);
     if (record === undefined) return;
     record.answeredAt = Math.max(record.answeredAt, at);
-    record.ends = record.ends.filter((end) => end.at > record.answeredAt);
+    record.failures = record.failures.filter((failure) => failure.at > record.answeredAt);
     if (record.quarantine && record.quarantine.since <= record.answeredAt) {
       record.quarantine = undefined;
       this.quarantined.delete(fingerprint);
     }
   }
 
-  private takeEnd(fingerprint: string, end: ServerEnd, now: Milliseconds): boolean {
-    const record = this.open(fingerprint);
-    if (end.at <= record.answeredAt) return false;
-    const recent = record.ends.filter(({ at }) => now - at < REMEMBER_ENDS_MS);
-    record.ends = recent;
-    if (recent.some((known) => isSameEnd(known, end))) return false;
-    recent.push(end);
+  private addFailure(fingerprint: string, failure: ServerFailure, now: Milliseconds): boolean {
+    const record = this.getOrCreateRecord(fingerprint);
+    if (failure.at <= record.answeredAt) return false;
+    const recent = record.failures.filter(({ at }) => now - at < FAILURE_RETENTION_MS);
+    record.failures = recent;
+    if (recent.some((other) => isSameFailure(other, failure))) return false;
+    recent.push(failure);
     if (this.leftMs(fingerprint, now) !== undefined) return false;
-    const unexplained = recent.filter((one) => !this.isExplained(fingerprint, one, recent.length));
-    if (unexplained.length < ENDS_UNTIL_QUARANTINE) return false;
-    this.quarantine(fingerprint, record, { since: now, until: now + QUARANTINE_MS });
+    const unattributed = recent.filter(
+      (candidate) => !this.isAttributedToOther(fingerprint, candidate, recent.length),
+    );
+    if (unattributed.length < FAILURES_UNTIL_QUARANTINE) return false;
+    this.startQuarantine(fingerprint, record, { since: now, until: now + QUARANTINE_MS });
     return true;
   }
 
   /**
-   * A request in quarantine was there, and at no fewer ends than the one in question. One that was at
-   * more ends than all in quarantine is the better explanation, though they were found first.
+   * Whether another quarantined request was involved in this failure and has at least `minCount`
+   * failures. A request with more failures than that is the more likely cause, even if found later.
    */
-  private isExplained(fingerprint: string, end: ServerEnd, ends: number): boolean {
-    for (const other of this.quarantined) {
-      const known = other === fingerprint ? [] : (this.records.get(other)?.ends ?? []);
-      if (known.length >= ends && known.some((one) => isSameEnd(one, end))) return true;
+  private isAttributedToOther(
+    fingerprint: string,
+    failure: ServerFailure,
+    minCount: number,
+  ): boolean {
+    for (const otherFingerprint of this.quarantined) {
+      const others =
+        otherFingerprint === fingerprint
+          ? []
+          : (this.records.get(otherFingerprint)?.failures ?? []);
+      if (others.length >= minCount && others.some((other) => isSameFailure(other, failure)))
+        return true;
     }
     return false;
   }
 
-  private quarantine(fingerprint: string, record: RequestRecord, quarantine: Quarantine): void {
+  private startQuarantine(
+    fingerprint: string,
+    record: RequestRecord,
+    quarantine: Quarantine,
+  ): void {
     record.quarantine = quarantine;
     this.quarantined.add(fingerprint);
   }
 
-  private open(fingerprint: string): RequestRecord {
-    const known = this.records.get(fingerprint);
-    if (known) return known;
-    if (this.records.size >= MOST_RECORDS) this.makeRoom();
+  private getOrCreateRecord(fingerprint: string): RequestRecord {
+    const existing = this.records.get(fingerprint);
+    if (existing) return existing;
+    if (this.records.size >= MAX_RECORDS) this.evictOldest();
     const created: RequestRecord = {
-      ends: [],
+      failures: [],
       answeredAt: Number.NEGATIVE_INFINITY,
       quarantine: undefined,
     };
@@ -177,7 +195,7 @@
     return created;
   }
 
-  private makeRoom(): void {
+  private evictOldest(): void {
     for (const fingerprint of this.records.keys()) {
       if (this.quarantined.has(fingerprint)) continue;
       this.records.delete(fingerprint);
@@ -190,6 +208,6 @@
   }
 }
 
-function isSameEnd(one: ServerEnd, other: ServerEnd): boolean {
-  return one.server === other.server && Math.abs(one.at - other.at) < SAME_END_MS;
+function isSameFailure(first: ServerFailure, second: ServerFailure): boolean {
+  return first.server === second.server && Math.abs(first.at - second.at) < SAME_FAILURE_WINDOW_MS;
 }
--- a/src/controllers/quarantine/types.ts
+++ b/src/controllers/quarantine/types.ts
@@ -1,30 +1,31 @@
 /**
- * What gateways tell each other of requests under which backend servers end.
+ * Messages in which gateways share requests that are suspected of making backend servers fail.
  */
 import * as z from 'zod';
 
-const spanMs = z.number().nonnegative();
+const durationMs = z.number().nonnegative();
 
 export const requestReportSchema = z.discriminatedUnion('kind', [
-  /** A backend server ended while it had the request. */
+  /** A backend server failed while it was processing the request. */
   z.object({
     kind: z.literal('serverEnded'),
     fingerprint: z.string(),
     server: z.string(),
-    ageMs: spanMs,
+    ageMs: durationMs,
   }),
-  /** A backend server answered the request and lives. */
-  z.object({ kind: z.literal('answered'), fingerprint: z.string(), ageMs: spanMs }),
+  /** A backend server answered the request without failing. */
+  z.object({ kind: z.literal('answered'), fingerprint: z.string(), ageMs: durationMs }),
 ]);
 
 export const toldQuarantineSchema = z.object({
   fingerprint: z.string(),
-  /** Since the request was put into quarantine. */
-  ageMs: spanMs,
-  leftMs: spanMs,
+  /** Time since the request was quarantined. */
+  ageMs: durationMs,
+  /** Remaining time of the quarantine. */
+  leftMs: durationMs,
 });
 
-/** What one gateway saw of a request. */
+/** The outcome of a request as observed by one gateway. */
 export type RequestReport = z.infer<typeof requestReportSchema>;
-/** A request that is kept from backend servers, as one gateway tells another. */
+/** A request that is quarantined, as shared between gateways. */
 export type ToldQuarantine = z.infer<typeof toldQuarantineSchema>;
