--- a/src/controllers/drains/judge.ts
+++ b/src/controllers/drains/judge.ts
@@ -1,61 +1,64 @@
 /**
- * When a draining target may be told to stop without cutting off a request.
+ * Determines when a draining target can be stopped without interrupting a request.
  *
- * The failure guarded against: an entry that has not heard of the drain sends one more request
- * while the target is being stopped, and the caller's answer breaks off. It would show as a target
- * that was idle when looked at and busy when stopped. Each entry names a target in its digest only
- * from the moment when it sends nothing more there, so a named count of zero can't grow again, and
- * an entry that does not name the target holds the stop up.
+ * An entry that doesn't know about the drain could send another request while the target stops. Each
+ * entry lists a target in its digest only once it sends nothing more there, so a count of zero is
+ * final, and an entry that doesn't list the target delays the stop.
  */
 import type { Peer } from '../../board/index.js';
-import type { DrainEntry, DrainHolder, DrainJudgement, DrainQuestion } from './types.js';
+import type { DrainEntry, DrainBlocker, DrainJudgement, DrainInput } from './types.js';
 
 /**
- * Whether every entry and the target itself have reported none in flight.
+ * Returns whether all entries and the target have reported that no requests are in flight, or else
+ * what blocks the stop.
  *
- * `reported` has to be read from the target after the entries were found to have none: a request
- * that was sent but not yet received counts at its entry, so nothing is missed between the two.
+ * `reported` must be read from the target after the entries have reported zero: until the target has
+ * received a request, only the entry that sent it counts it.
  *
  * @example if (judgeDrain(question).kind === 'safe') release(question.target);
  */
-export function judgeDrain(question: DrainQuestion): DrainJudgement {
-  const holders = [...listOwn(question), ...listEntries(question), ...listTarget(question)];
+export function judgeDrain(input: DrainInput): DrainJudgement {
+  const holders = [
+    ...findOwnBlockers(input),
+    ...findEntryBlockers(input),
+    ...findTargetBlockers(input),
+  ];
   return holders.length === 0 ? { kind: 'safe' } : { kind: 'waiting', holders };
 }
 
-function listOwn({ self }: DrainQuestion): DrainHolder[] {
+function findOwnBlockers({ self }: DrainInput): DrainBlocker[] {
   if (self.inFlight === 0) return [];
   return [{ kind: 'inFlight', entry: self.name, count: self.inFlight }];
 }
 
-function listEntries(question: DrainQuestion): DrainHolder[] {
-  const drained = new Set(
-    question.summaries
-      .filter(({ summary }) => summary.drained.includes(question.target))
+function findEntryBlockers(input: DrainInput): DrainBlocker[] {
+  const drainedDomains = new Set(
+    input.summaries
+      .filter(({ summary }) => summary.drained.includes(input.target))
       .map(({ summary }) => summary.failureDomain),
   );
-  return question.entries.flatMap((entry) => {
-    if (entry.name === question.self.name) return [];
-    return judgeEntry(question, entry, drained.has(entry.failureDomain));
+  return input.entries.flatMap((entry) => {
+    if (entry.name === input.self.name) return [];
+    return checkEntry(input, entry, drainedDomains.has(entry.failureDomain));
   });
 }
 
-function judgeEntry(
-  { target, peers }: DrainQuestion,
+function checkEntry(
+  { target, peers }: DrainInput,
   entry: DrainEntry,
   isDomainDrained: boolean,
-): DrainHolder[] {
-  const count = findCount(peers.get(entry.name), target);
+): DrainBlocker[] {
+  const count = findInFlightCount(peers.get(entry.name), target);
   if (count === 0 || (count === undefined && isDomainDrained)) return [];
   if (count === undefined) return [{ kind: 'unconfirmed', entry: entry.name }];
   return [{ kind: 'inFlight', entry: entry.name, count }];
 }
 
-function findCount(peer: Peer | undefined, target: string): number | undefined {
+function findInFlightCount(peer: Peer | undefined, target: string): number | undefined {
   return peer?.draining.find((draining) => draining.target === target)?.count;
 }
 
-function listTarget({ reported }: DrainQuestion): DrainHolder[] {
+function findTargetBlockers({ reported }: DrainInput): DrainBlocker[] {
   if (reported === 0) return [];
   return [reported === undefined ? { kind: 'target' } : { kind: 'target', count: reported }];
 }
--- a/src/controllers/drains/targets.ts
+++ b/src/controllers/drains/targets.ts
@@ -1,20 +1,20 @@
 /**
- * What is draining, as this entry knows it.
+ * Lists draining targets and the entries that may still send requests to them.
  */
 import type { Attempts, Fleet, InFlightCount, Plans } from '../../board/index.js';
 import type { DrainEntry } from './types.js';
 import type { Peer } from '../../board/index.js';
 
 /**
- * Targets that this entry sends nothing more to, with what it has in flight there: instances that
- * are leaving and replicas that are draining.
+ * Lists the targets to which this entry sends no more requests, with the number of its requests still
+ * in flight there: leaving instances and draining replicas.
  */
 export function listDraining(fleet: Fleet, plans: Plans, attempts: Attempts): InFlightCount[] {
-  const targets = [...listLeaving(fleet), ...listDrainingReplicas(plans)];
+  const targets = [...listLeavingInstances(fleet), ...listDrainingReplicas(plans)];
   return targets.map((target) => ({ target, count: attempts.inFlight.get(target) ?? 0 }));
 }
 
-function listLeaving(fleet: Fleet): string[] {
+function listLeavingInstances(fleet: Fleet): string[] {
   return [...fleet.leaving].filter((name) => fleet.instances.get(name)?.role !== 'entry').sort();
 }
 
@@ -25,8 +25,8 @@
 }
 
 /**
- * Every entry that may still send a request: all in the platform's list, also those that are
- * leaving but may not have stopped, and those heard that the list does not have yet.
+ * Lists all entries that may still send requests: those on the platform's list, including leaving ones
+ * that may not have stopped, and those heard that are not listed yet.
  */
 export function listSendingEntries(fleet: Fleet, peers: ReadonlyMap<string, Peer>): DrainEntry[] {
   const entries = new Map<string, DrainEntry>();
--- a/src/controllers/drains/types.ts
+++ b/src/controllers/drains/types.ts
@@ -1,34 +1,35 @@
 /**
- * The messages of the drain decision.
+ * Input and result of the drain check.
  */
 import type { Peer } from '../../board/index.js';
 import type { SummaryRecord } from '../membership/index.js';
 
-/** What is known of one target that is to be stopped: an instance or a replica. */
-export interface DrainQuestion {
+/** What this entry knows about a target that is to be stopped: an instance or a replica. */
+export interface DrainInput {
   target: string;
-  /** This entry itself. It asks, so it knows of the drain. */
+  /** This entry, which already knows about the drain. */
   self: { name: string; failureDomain: string; inFlight: number };
-  /** Every entry that may still send: those in the platform's list and those heard lately. */
+  /** All entries that may still send requests: those on the platform's list and those heard recently. */
   entries: readonly DrainEntry[];
   peers: ReadonlyMap<string, Peer>;
-  /** Of other failure domains, where their entries are not known one by one. */
+  /** Summaries of other failure domains whose entries are not known individually. */
   summaries: readonly SummaryRecord[];
-  /** What the target says is in flight at it; undefined when it has not said, 0 when it says none. */
+  /** Number of requests in flight reported by the target; undefined without a report. */
   reported: number | undefined;
 }
 
+/** An entry that may still send requests to the target. */
 export interface DrainEntry {
   name: string;
   failureDomain: string;
 }
 
-/** Who keeps a target from being stopped. */
-export type DrainHolder =
+/** A reason why a target can't be stopped yet. */
+export type DrainBlocker =
   | { kind: 'inFlight'; entry: string; count: number }
-  /** Has not said yet that it knows of the drain, or is not heard. */
+  /** The entry has not confirmed the drain, or is not heard. */
   | { kind: 'unconfirmed'; entry: string }
-  /** The target itself has some in flight, or has not said. */
+  /** The target has requests in flight, or has not reported their number. */
   | { kind: 'target'; count?: number };
 
-export type DrainJudgement = { kind: 'safe' } | { kind: 'waiting'; holders: DrainHolder[] };
+export type DrainJudgement = { kind: 'safe' } | { kind: 'waiting'; holders: DrainBlocker[] };
