--- a/features/limits/share-fleet.ts
+++ b/features/limits/share-fleet.ts
@@ -186,9 +186,10 @@
     }
   }
 
-  private areLinked(one: Member, other: Member): boolean {
-    if (one.isPaused || other.isPaused || one.isPartitioned !== other.isPartitioned) return false;
-    return !one.cutFromPeers && !other.cutFromPeers;
+  private areLinked(first: Member, second: Member): boolean {
+    if (first.isPaused || second.isPaused || first.isPartitioned !== second.isPartitioned)
+      return false;
+    return !first.cutFromPeers && !second.cutFromPeers;
   }
 
   private describeListStatus(member: Member): ListNews {
--- a/src/controllers/configuration/readiness.ts
+++ b/src/controllers/configuration/readiness.ts
@@ -38,7 +38,7 @@
     hasPlatformAnswered && (!hasPeers || now - input.startedAt >= input.startupMs);
   if (!caughtUp && !mayStartAlone) return notReady('it has not caught up with another entry yet');
   if (now - Math.max(platformAt, peerAt) > input.isolationMs) {
-    return notReady('it hears neither the platform nor any other entry');
+    return notReady('it has no contact to the platform or any other entry');
   }
   return { kind: 'ready' };
 }
--- a/src/controllers/drains/judge.ts
+++ b/src/controllers/drains/judge.ts
@@ -15,7 +15,7 @@
  * `reported` must be read from the target after the entries have reported zero: until the target has
  * received a request, only the entry that sent it counts it.
  *
- * @example if (judgeDrain(question).kind === 'safe') release(question.target);
+ * @example if (judgeDrain(input).kind === 'safe') release(input.target);
  */
 export function judgeDrain(input: DrainInput): DrainJudgement {
   const holders = [
--- a/src/controllers/limits/entry-list.ts
+++ b/src/controllers/limits/entry-list.ts
@@ -30,7 +30,7 @@
 /**
  * Returns when the list was last known to be current.
  *
- * @example confirmList({ self: 'entry-1', listed, revision, platformAt, peers, contactMs })
+ * @example listConfirmedAt({ self: 'entry-1', listed, revision, platformAt, peers, contactMs })
  */
 export function listConfirmedAt(status: ListNews): Milliseconds {
   return Math.max(status.platformAt, confirmedByOnePeerAt(status), confirmedByAllPeersAt(status));
--- a/src/controllers/limits/limit-digest.ts
+++ b/src/controllers/limits/limit-digest.ts
@@ -60,7 +60,7 @@
     if (missing < MIN_LOAN_FRACTION) continue;
     needs.push({ workspace, missing: Math.ceil(missing * FRACTION_SCALE) / FRACTION_SCALE });
   }
-  return needs.sort((one, other) => other.missing - one.missing).slice(0, MAX_NEEDS);
+  return needs.sort((a, b) => b.missing - a.missing).slice(0, MAX_NEEDS);
 }
 
 /**
--- a/src/controllers/limits/loans.ts
+++ b/src/controllers/limits/loans.ts
@@ -126,7 +126,7 @@
     ([, needs]) => needs.missing.size > 0 && now - needs.receivedAt < LOAN_DURATION_MS / 2,
   );
   return requesters
-    .sort(([, one], [, other]) => sumMissing(other) - sumMissing(one))
+    .sort(([, a], [, b]) => sumMissing(b) - sumMissing(a))
     .slice(0, MAX_BORROWERS)
     .map(([name, needs]) => ({ name, needs }));
 }
