--- a/src/ports/fleet.ts
+++ b/src/ports/fleet.ts
@@ -1,51 +1,52 @@
 /**
- * Backend servers as their own entries describe them.
+ * Backend servers, as described by the entries that they write to the object store.
  */
 
-/** How far an instance is in its replica. `broken`: it had members missing for too long. */
+/** State of an instance in its replica. `broken`: members were missing for too long. */
 export type MembershipState = 'joining' | 'ready' | 'open' | 'closing' | 'broken';
 
-/** The replica that an instance belongs to, by its own word. */
+/** The replica that an instance reports to be a member of. */
 export interface GroupMembership {
   group: string;
-  /** Grows with each forming in a fabric domain; engines refuse a lower one than they have seen. */
+  /** Increases each time a replica is formed in the fabric domain; engines refuse outdated epochs. */
   epoch: number;
   /** Position among the members; requests go to rank 0, the head. */
   rank: number;
   state: MembershipState;
 }
 
-/** One life of a backend server. A restart is another one, which may have the same id. */
+/** One run of a backend server process. A restarted server may have the same id. */
 export interface BackendServer {
   id: string;
   service: string;
-  /** `host:port`; used again by others after its end. */
+  /** `host:port`; may be reused by another server after this one has ended. */
   address: string;
   failureDomain: string;
-  /** Requests that it works on at once. */
+  /** Maximum number of concurrent requests. */
   slots: number;
-  /** It gets nothing new: it has said that it is about to stop, or its entry can't be read now. */
+  /** Receives no new requests: it is shutting down, or its entry is currently invalid. */
   leaving: boolean;
   /**
-   * Unix millisecond of its start, by its own clock. With the id it names its life; it only tells
-   * lives apart, of two the higher need not be the newer. Absent where the server does not say it.
+   * Start time in Unix milliseconds, by the server's own clock. Identifies a run together with the
+   * id. Compare for equality only: the higher of two values isn't necessarily the newer run. Absent
+   * if the server doesn't report it.
    */
   startedAt?: number;
-  /** Absent for services that are no engines. */
+  /** Present only for engines. */
   engine?: EngineState;
 }
 
-/** What an engine says of itself. */
+/** State that an engine reports in its entry, and what has been derived from earlier entries. */
 export interface EngineState {
   fabricDomain: string;
-  /** Models whose weights are on its host. */
+  /** Models whose weights are stored on the engine's host. */
   staged: readonly string[];
-  /** The model of its replica, as far as it is loaded. */
+  /** The model that the engine has loaded for its replica, if any. */
   model?: string;
   /**
-   * The model of the last replica that it was ready in since its start. It joins another replica of
-   * that model sooner than a warm load takes, also after it has left. Not told by the engine: kept
-   * from what it reported before.
+   * The model of the last replica in which the engine was ready since its start, also after it has
+   * left that replica. Joining another replica of this model takes less time than a warm load. Not
+   * reported by the engine, but derived from its earlier entries.
    */
   lastModel?: string;
   membership?: GroupMembership;
--- a/src/ports/object-store.ts
+++ b/src/ports/object-store.ts
@@ -1,10 +1,10 @@
 /**
- * The dialect of a store of versioned objects: what a call looks like and what its answer says.
- * The client keeps everything that decides: timeouts, retries, watching, lost answers.
+ * Codec interface for a store of versioned objects. It only encodes requests and decodes responses;
+ * timeouts, retries, watch loops and lost responses are handled by the client.
  */
 import type { Milliseconds } from '../core/clock/index.js';
 
-/** A call to the store, ready to send. */
+/** An encoded HTTP request to the store. */
 export interface StoreCall {
   method: 'GET' | 'POST' | 'PUT' | 'DELETE';
   path: string;
@@ -12,8 +12,9 @@
 }
 
 /**
- * One object. `value` is yet to be checked by who reads it. Revisions order the states of one history of
- * the store; the client turns them into places that order those of all.
+ * One object; `value` has not been validated. Revisions are only comparable within one history of
+ * the store, that is until it is restored from an older copy. The client converts them to positions
+ * that are comparable across histories.
  */
 export interface StoreObject {
   name: string;
@@ -21,16 +22,16 @@
   value: unknown;
 }
 
-/** A part of the objects of a kind, in the order of their names. */
+/** One page of the objects of a kind, sorted by name. */
 export interface StorePage {
   objects: readonly StoreObject[];
-  /** There are more after the last name. */
+  /** Whether more objects follow after the last name. */
   more: boolean;
-  /** The store's revision that the page stands for. */
+  /** The store's revision that the page reflects. */
   revision: number;
 }
 
-/** Items of an answer of which not even the name could be read. They are in no list. */
+/** Number of items that were left out of a response because their metadata was invalid. */
 export interface DroppedItems {
   dropped: number;
 }
@@ -41,39 +42,39 @@
   deleted: boolean;
 }
 
-/** What came after a revision. */
+/** The changes after a given revision, up to `revision`. */
 export interface StoreChanges {
   changes: readonly StoreChange[];
   revision: number;
 }
 
-/** What the answer to a conditional write says. */
+/** Result of a conditional write. */
 export type WriteAnswer =
   | { kind: 'written'; object: StoreObject }
-  /** Another write came first; the object as it is, where the answer holds it. */
+  /** The revision didn't match; `object` is the current state, if the response includes it. */
   | { kind: 'conflict'; object?: StoreObject }
   | { kind: 'missing' };
 
 /**
- * How calls and answers of one store are written. Decoders return undefined for what they can't
- * read. An item of a list of which only the name can be read is an object without a value.
+ * Encodes requests to a store and decodes its responses. Decoders return undefined for invalid
+ * input. An invalid list item with valid metadata is decoded to an object without a value.
  */
 export interface StoreDialect {
   list(kind: string, after?: string): StoreCall;
   read(kind: string, name: string): StoreCall;
   watch(kind: string, since: number, waitMs: Milliseconds): StoreCall;
   create(kind: string, name: string, value: unknown): StoreCall;
-  /** A cheap call whose answer may be old: that one comes is all that counts. */
+  /** An inexpensive request that checks whether the store responds; the response may be stale. */
   check(kind: string, name: string): StoreCall;
-  /** Takes effect only while the object has `revision`. */
+  /** Takes effect only if the object's current revision is `revision`. */
   replace(kind: string, name: string, value: unknown, revision: number): StoreCall;
   decodePage(body: string): (StorePage & DroppedItems) | undefined;
   decodeObject(body: string): StoreObject | undefined;
   decodeChanges(body: string): (StoreChanges & DroppedItems) | undefined;
-  /** Undefined when the status says neither that it was written nor that it never will be. */
+  /** Undefined if the status leaves open whether the write has taken or will take effect. */
   decodeWrite(status: number, body: string): WriteAnswer | undefined;
-  /** How often the store has come back from an older copy; 0 where an answer doesn't say. */
+  /** How often the store has been restored from an older copy; 0 if the header is missing or invalid. */
   decodeEra(headers: Readonly<Record<string, string | string[] | undefined>>): number;
-  /** The watch asked for changes that the store no longer has. */
+  /** Whether the status means that the store no longer has the changes that a watch requested. */
   isHistoryGone(status: number): boolean;
 }
--- a/src/ports/orders.ts
+++ b/src/ports/orders.ts
@@ -1,55 +1,55 @@
 /**
- * Orders to engines, and how an engine takes them.
+ * Orders to engines, their outcomes, and the codec interface for both.
  */
 
-/** An order to one engine. `group` and `epoch` name the replica that it concerns. */
+/** An order to one engine. `group` and `epoch` identify the replica. */
 export type EngineOrder =
   | {
       kind: 'join';
       group: string;
       epoch: number;
       model: string;
-      /** Ids of all members, the head first. */
+      /** Ids of all members, starting with the head. */
       members: readonly string[];
     }
   | { kind: 'open'; group: string; epoch: number }
-  /** `preempt` ends what runs; otherwise it is finished first. */
+  /** `preempt` aborts running requests; otherwise they are completed first. */
   | { kind: 'close'; group: string; epoch: number; preempt: boolean }
   | { kind: 'leave'; group: string; epoch: number }
-  /** Brings the weights of `model` to the engine's host beside all other work. */
+  /** Copies the weights of `model` to the engine's host in the background. */
   | { kind: 'stage'; model: string };
 
-/** How an order ended. */
+/** Outcome of an order. */
 export type OrderOutcome =
   | { kind: 'accepted' }
-  /** It was so already. */
+  /** The engine was already in the requested state. */
   | { kind: 'done' }
   | { kind: 'refused'; status: number }
-  /** Another backend server has the address by now. */
+  /** The address now belongs to another backend server. */
   | { kind: 'otherInstance' }
-  /** Nothing listens there: the process has ended. */
+  /** Nothing listens at the address: the process has ended. */
   | { kind: 'gone' }
-  /** No answer; it may have been taken, or may yet be. */
+  /** No response; the order may have been accepted or may still arrive. */
   | { kind: 'unknown'; reason: string };
 
-/** How orders and reports of one kind of engine are written. */
+/** Encodes orders and report requests to engines and decodes their responses. */
 export interface OrderDialect {
   encodeOrder(order: EngineOrder, server: string): EngineCall;
   decodeOrder(status: number): OrderOutcome;
   encodeReport(server: string): EngineCall;
-  /** Undefined when the body is no report. */
-  decodeReport(body: string): EngineReportHead | undefined;
+  /** Undefined if the body is not a valid report. */
+  decodeReport(body: string): EngineReportSummary | undefined;
 }
 
-/** What matters here of an engine's report. */
-export interface EngineReportHead {
-  /** Factor on its processing times now; well above 1 when it has turned slow. */
+/** The fields of an engine's report that the gateway uses. */
+export interface EngineReportSummary {
+  /** Current multiplier for processing times; well above 1 if the engine has become slow. */
   pace: number;
-  /** Of the life that reports, as in its entry. */
+  /** Start time of the reporting process, see `BackendServer.startedAt`. */
   startedAt?: number;
 }
 
-/** A short call to an engine, ready to send. */
+/** An encoded HTTP request to an engine. */
 export interface EngineCall {
   method: 'GET' | 'POST';
   path: string;
--- a/src/ports/requests.ts
+++ b/src/ports/requests.ts
@@ -1,56 +1,56 @@
 /**
- * Requests of callers and answers of backend servers, beyond method, path and body.
+ * Header fields of callers' requests and backend servers' responses, and their codec interface.
  */
 import type { Milliseconds } from '../core/clock/index.js';
 
-/** Header names and values by turns, as they came. */
+/** Alternating header names and values, as received. */
 export type RawHeaders = readonly string[];
 
-/** What a request says of itself in its headers. */
+/** Fields decoded from the headers of a caller's request. */
 export interface CallerRequest {
-  /** Names this attempt of the caller; absent when the caller gave none. */
+  /** Identifies the caller's attempt, if the caller sent an id. */
   id?: string;
-  /** How long the caller waits. */
+  /** How long the caller waits for the response. */
   deadlineMs?: Milliseconds;
-  /** The key that the caller proves its workspace with. */
+  /** API key that authenticates the caller's workspace. */
   key?: string;
   model?: string;
   promptTokens: number;
-  /** Output tokens that the caller allows at most. */
+  /** Maximum number of output tokens that the caller allows. */
   maxOutputTokens: number;
-  /** The stream goes on after this event. */
+  /** The stream is resumed after this event. */
   lastEventId?: string;
 }
 
-/** What is added to a request on its way to a backend server. */
+/** Values that the gateway adds as headers to a request to a backend server. */
 export interface SentRequest {
-  /** The backend server that must answer; another one at its address refuses. */
+  /** Id of the intended backend server; any other server at its address refuses the request. */
   server: string;
   deadlineMs: Milliseconds;
   workspace?: string;
-  /** 0 goes first, 9 last. */
+  /** From 0, the highest priority, to 9, the lowest. */
   priority: number;
   lastEventId?: string;
 }
 
-/** What an answer's head says beside its status. */
+/** Fields decoded from the status and headers of a response. */
 export interface AnswerHead {
   requestId?: string;
-  /** The answer carries the backend server's signature. */
+  /** Whether the response has a signature header of the backend server. */
   signed: boolean;
-  /** The backend server says that it has not run the request and never will. */
+  /** The backend server states that it has not executed the request and never will. */
   notRun: boolean;
-  /** The body is encoded, although no caller asks for that. */
+  /** Whether the body has a content encoding. */
   encoded: boolean;
   eventStream: boolean;
 }
 
-/** How headers of requests and answers are written. */
+/** Decodes, encodes and filters the headers of requests and responses. */
 export interface RequestDialect {
   decodeRequest(headers: RawHeaders): CallerRequest;
-  /** The headers for a backend server: those of the caller that concern it, and ours. */
+  /** Returns the headers to send: the caller's end-to-end headers and those for `sent`. */
   encodeRequest(headers: RawHeaders, sent: SentRequest): string[];
   decodeAnswer(status: number, headers: RawHeaders): AnswerHead;
-  /** The headers of an answer that go on to the caller. */
+  /** Returns the response headers that are forwarded to the caller. */
   relayAnswer(headers: RawHeaders): string[];
 }
--- a/src/ports/serving.ts
+++ b/src/ports/serving.ts
@@ -1,24 +1,24 @@
 /**
- * One accepted version of the serving configuration, as a single value.
+ * The serving configuration: routes, services, workspaces and limits.
  */
 import type { Milliseconds } from '../core/clock/index.js';
 
-/** How often a request of a route may run. */
+/** Whether requests of a route may be executed more than once. */
 export type Repeatability =
-  /** May run any number of times. */
+  /** May be executed any number of times. */
   | 'safe'
-  /** Runs at most once. */
+  /** Must be executed at most once. */
   | 'once'
-  /** A stream of events; it may run again when the route allows resuming. */
+  /** An event stream; may be executed again if the route is resumable. */
   | 'stream';
 
-/** A service that a route sends to, with its share of the route's requests. */
+/** A service that receives a weighted share of a route's requests. */
 export interface RouteTarget {
   service: string;
   weight: number;
 }
 
-/** Which requests go where, and what may be done with them. */
+/** Maps matching requests to services and defines how they are handled. */
 export interface Route {
   name: string;
   host: string;
@@ -27,93 +27,93 @@
   /** At least one; the weights are relative to their sum. */
   targets: readonly RouteTarget[];
   repeatability: Repeatability;
-  /** A stream of this route may go on at another backend server from its last event. */
+  /** An interrupted stream may be resumed at another backend server after its last event. */
   resumable: boolean;
-  /** Backend servers that one request may run at. */
+  /** Maximum number of backend servers that a request is sent to. */
   maxAttempts: number;
-  /** Longest time that a caller is kept waiting. */
+  /** Maximum time that a caller waits. */
   timeoutMs: Milliseconds;
-  /** Time to the answer, or to its first event, that the operator aims at. */
+  /** Target latency of the response, or of its first event. */
   targetMs: Milliseconds;
-  /** Longest pause between two events that the operator aims at; absent for plain answers. */
-  targetPauseMs?: Milliseconds;
-  /** Rank; 0 goes first. */
+  /** Target for the longest gap between two events; absent for routes without streaming. */
+  targetEventGapMs?: Milliseconds;
+  /** 0 is the highest priority. */
   priority: number;
-  /** Callers need no key. */
+  /** Whether callers may omit the API key. */
   anonymous: boolean;
 }
 
-/** A model that a replica of several instances serves. */
+/** A model served by replicas that each consist of several instances. */
 export interface GroupModel {
   name: string;
-  /** Instances of one replica. */
+  /** Number of instances in one replica. */
   size: number;
-  /** Factor on all processing times of a replica. */
+  /** Multiplier for all processing times of a replica; higher is slower. */
   pace: number;
-  /** Part of the instances that should serve it while no demand has been measured, 0 to 1. */
+  /** Fraction of the instances that should serve the model until demand has been measured, 0 to 1. */
   share: number;
-  /** Loading of the weights from the weight store. */
+  /** Time to load the weights from the weight store. */
   loadMs: Milliseconds;
-  /** Loading of the weights from the instance's own host. */
+  /** Time to load the weights from the instance's own host. */
   warmMs: Milliseconds;
 }
 
-/** What is known of the engines of one service. */
+/** Performance characteristics and load limits of the engines of one service. */
 export interface EngineProfile {
   models: readonly GroupModel[];
-  /** Requests that one replica works on at once. */
+  /** Maximum number of concurrent requests of one replica. */
   slots: number;
-  /** Generation steps between two visits of the scheduler; an event holds the tokens of one visit. */
+  /** Generation steps per scheduler iteration; each event contains the tokens of one iteration. */
   stride: number;
-  /** Time of one generation step, without its requests. */
+  /** Base duration of one generation step. */
   stepMs: Milliseconds;
-  /** Added to a step by each request that generates. */
+  /** Added to the duration of a step for each generating request. */
   stepPerRequestMs: Milliseconds;
-  /** Prompt tokens read in one millisecond. */
+  /** Prompt tokens processed per millisecond. */
   promptTokensPerMs: number;
-  /** Prompt tokens read at most in one step. */
+  /** Maximum number of prompt tokens processed in one step. */
   promptChunk: number;
-  /** Loads that run at full speed together. */
+  /** Number of concurrent weight loads that still run at full speed. */
   loadsAtOnce: number;
-  /** Loads that may begin in one second. */
+  /** Maximum number of weight loads started per second. */
   loadsPerSecond: number;
-  /** From the order to open until a replica serves. */
+  /** Time from the `open` order until the replica serves requests. */
   formMs: Milliseconds;
 }
 
 /** A named set of backend servers. */
 export interface ServingService {
   name: string;
-  /** Connections that one backend server accepts from all callers together. */
+  /** Maximum number of connections that one backend server accepts in total. */
   maxConnections: number;
-  /** Present when the backend servers are engines that form replicas. */
+  /** Present only if the backend servers are engines that form replicas. */
   engine?: EngineProfile;
 }
 
-/** Who may call: the holder of one of the keys. */
+/** A workspace whose callers authenticate with one of its API keys. */
 export interface ServingWorkspace {
   name: string;
   keys: readonly string[];
-  /** Goes before the priority of the route. */
+  /** Overrides the priority of the route. */
   priority?: number;
 }
 
-/** Bounds on what a caller may send. */
+/** Limits on requests and connections of callers. */
 export interface CallerLimits {
   maxHeaderBytes: number;
   maxBodyBytes: number;
   headerTimeoutMs: Milliseconds;
-  /** Callers may use a connection again until it has been idle this long. */
+  /** Keep-alive timeout: how long an idle connection of a caller stays open. */
   idleTimeoutMs: Milliseconds;
 }
 
-/** Everything that operators decide about serving. */
+/** The complete serving configuration written by operators. */
 export interface ServingConfiguration {
-  /** Grows with each change, not always by one. */
+  /** Increases with each change, not necessarily by one. */
   version: number;
   routes: readonly Route[];
   services: readonly ServingService[];
-  /** Absent when callers need no keys. */
+  /** Absent if callers need no API keys. */
   workspaces?: readonly ServingWorkspace[];
   limits: CallerLimits;
 }
