--- a/src/board/board.ts
+++ b/src/board/board.ts
@@ -1,12 +1,13 @@
 /**
- * The board of one entry: where controllers leave what they know and decided for the others.
+ * The board of one entry: in-memory state through which its controllers share observations and
+ * decisions.
  */
 import { policySchema } from '../objects/index.js';
 import { createSection } from './section.js';
 import type { BoardWriters } from './types.js';
 
 /**
- * An empty board. Hand each section's writer to one controller and the whole to readers.
+ * Creates an empty board. Pass each writable section to only one controller; readers may get all.
  *
  * @example const board = createBoard(); board.fleet.write({ ...board.fleet.read(), revision: 7 });
  */
--- a/src/board/section.ts
+++ b/src/board/section.ts
@@ -1,26 +1,26 @@
 /**
- * One section of the board: a value with a version, read by all controllers, written by one.
+ * A section of the board: an observable, versioned value with one writer and many readers.
  *
- * A value is never changed in place: the writer replaces it, so that a reader may keep what it
- * read. Listeners are called after each write, in the order in which they subscribed.
+ * Values are immutable: the writer replaces them, so readers may keep a reference. Listeners are
+ * called synchronously after each write, in the order of their subscription.
  */
 
-/** What readers see of a section. */
+/** Read-only view of a section. */
 export interface Section<Value> {
   read(): Value;
-  /** Grows by one with each write. */
+  /** Increases by one with each write. */
   version(): number;
-  /** Calls `listener` after each write until the returned function is called. */
+  /** Calls `listener` after each write. Returns a function that ends the subscription. */
   subscribe(listener: () => void): () => void;
 }
 
-/** A section with the right to replace its value; held by one controller. */
+/** A section with write access; owned by a single controller. */
 export interface WritableSection<Value> extends Section<Value> {
   write(value: Value): void;
 }
 
 /**
- * A section that starts with `initial` at version 0.
+ * Creates a section with the value `initial` and version 0.
  *
  * @example const section = createSection({ revision: 0 }); section.write({ revision: 1 });
  */
--- a/src/board/types.ts
+++ b/src/board/types.ts
@@ -1,28 +1,28 @@
 /**
- * What stands on the board, section by section. Instants are of this process's clock.
+ * Types of the board's sections. Timestamps are those of this process's clock.
  */
 import type { EngineLoad, EngineReport } from '../adapters/engines/protocol.js';
 import type { Milliseconds } from '../core/clock/index.js';
 import type { DomainPlan, Instance, Model, Policy, Service, Workspace } from '../objects/index.js';
 import type { Section, WritableSection } from './section.js';
 
-/** A value with the platform's revision of its last change. */
+/** A value and the platform's revision at which it last changed. */
 export interface Versioned<Value> {
   version: number;
   value: Value;
 }
 
-/** What operators wrote, as it is in force at this entry. Written by `configuration`. */
+/** The operators' configuration as applied at this entry. Written by `configuration`. */
 export interface Configuration {
-  /** All changes up to this revision of the platform are in force; 0 before the first. */
+  /** Platform revision up to which all changes are applied; 0 initially. */
   revision: number;
   models: ReadonlyMap<string, Versioned<Model>>;
   services: ReadonlyMap<string, Versioned<Service>>;
   workspaces: ReadonlyMap<string, Versioned<Workspace>>;
   policy: Policy;
-  /** Objects whose newest version was not valid: the version before stays in force. */
+  /** Objects whose latest version is invalid; their previous version remains in effect. */
   rejected: readonly RejectedObject[];
-  /** When this entry last heard that its configuration is current, from platform or peer. */
+  /** When the platform or a peer last confirmed that the configuration is current. */
   confirmedAt: Milliseconds;
 }
 
@@ -33,69 +33,70 @@
   reason: string;
 }
 
-/** The platform's list of instances, plus whom others report to be leaving. Written by `membership`. */
+/** The platform's instance list and the set of leaving instances. Written by `membership`. */
 export interface Fleet {
   revision: number;
   instances: ReadonlyMap<string, Instance>;
-  /** Backend servers that get no new work: the list, their own word or a peer's, the first to arrive. */
+  /** Backend servers that get no new work, as reported by the list, the server itself or a peer. */
   leaving: ReadonlySet<string>;
 }
 
-/** The plan of each fabric domain, by its name. Written by `replicas`. */
+/** Plans by fabric domain name. Written by `replicas`. */
 export type Plans = ReadonlyMap<string, Versioned<DomainPlan>>;
 
-/** What is known of one backend server. */
+/** Health of one backend server. */
 export interface InstanceHealth {
-  /** The last report of an engine; absent for plain services and before the first. */
+  /** Latest report of an engine; absent for plain services and before the first report. */
   report?: EngineReport;
-  /** When the last good report was received here, less its age when a peer passed it on. */
+  /** When the last successful report was received, minus its age if a peer forwarded it. */
   heardAt: Milliseconds;
-  /** When the first request or probe failed since the last good report; absent when none has. */
+  /** When the first request or probe failed since the last successful report; absent if none has. */
   failingSince?: Milliseconds;
-  /** When the last of these failed: only a report asked for later ends the failing. */
+  /** Time of the latest failure; only a report requested after it clears the failing state. */
   failedAt?: Milliseconds;
 }
 
-/** By instance name. Written by `health`. */
+/** Health by instance name. Written by `health`. */
 export type Health = ReadonlyMap<string, InstanceHealth>;
 
-/** Load of one replica, by its id, as reported. */
+/** Reported load of one replica. */
 export interface ReplicaLoad {
   load: EngineLoad;
-  /** When it was measured: receipt less the reported age. */
+  /** Time of measurement: time of receipt minus the reported age. */
   measuredAt: Milliseconds;
 }
 
-/** By replica id. Written by `health`, which receives the engines' reports. */
+/** Load by replica id. Written by `health`, which receives the engines' reports. */
 export type Load = ReadonlyMap<string, ReplicaLoad>;
 
-/** What is known of one other entry. */
+/** State of another entry. */
 export interface Peer {
   name: string;
   incarnation: string;
   address: string;
   failureDomain: string;
   heardAt: Milliseconds;
-  /** The configuration revision that it has in force. */
+  /** Configuration revision that the peer has applied. */
   configurationRevision: number;
-  /** Whether its own watch of the platform is answered; absent means not known. */
+  /** Whether the peer's watch requests to the platform are answered; absent if unknown. */
   platform?: 'reached' | 'unreached' | 'unwatched';
   ready: boolean;
   stopping: boolean;
-  /** Requests in flight at it, for each leaving instance or draining replica. */
+  /** The peer's in-flight requests for each leaving instance or draining replica. */
   draining: readonly InFlightCount[];
-  /** Requests that it sent to each replica in the last digest period. */
+  /** Requests that the peer sent to each replica in the last digest period. */
   sent: readonly SentCount[];
-  /** What it asks of each workspace's fleet-wide limits. */
+  /** The peer's demand on each workspace's fleet-wide limits. */
   demands: readonly WorkspaceDemand[];
 }
 
-/** `target` names an instance or a replica. */
+/** Number of requests in flight to `target`, an instance or a replica. */
 export interface InFlightCount {
   target: string;
   count: number;
 }
 
+/** Requests and tokens sent to one replica. */
 export interface SentCount {
   replica: string;
   requests: number;
@@ -103,7 +104,7 @@
   outputTokens: number;
 }
 
-/** Rates over the last digest period that a workspace asked for at one entry. */
+/** Demand of one workspace at one entry in the last digest period. */
 export interface WorkspaceDemand {
   workspace: string;
   requestsPerSecond: number;
@@ -111,34 +112,34 @@
   concurrentRequests: number;
 }
 
-/** By entry name, without this entry itself. Written by `membership`. */
+/** The other entries by name. Written by `membership`. */
 export type Peers = ReadonlyMap<string, Peer>;
 
-/** The part of one workspace's fleet-wide limits that this entry may use. */
+/** This entry's share of a workspace's fleet-wide limits. */
 export interface WorkspaceShare {
   requestsPerSecond: number;
   tokensPerSecond: number;
   concurrentRequests: number;
   /**
-   * From `at` on only `share` may be used. Guards against an entry that was paused and wakes with
-   * a share that has been given to others meanwhile.
+   * From the time `at`, only `share` may be used. Prevents an entry whose process was paused from
+   * using limits that have been reassigned to other entries in the meantime.
    */
   lapse?: { at: Milliseconds; share: WorkspaceShare };
 }
 
-/** By workspace name. Written by `limits`. */
+/** Shares by workspace name. Written by `limits`. */
 export type Limits = ReadonlyMap<string, WorkspaceShare>;
 
-/** What this entry has in flight. Written by `attempts`. */
+/** This entry's in-flight requests and demand. Written by `attempts`. */
 export interface Attempts {
-  /** By instance or replica id; absent means none. */
+  /** Number of requests by instance or replica id; absent means none. */
   inFlight: ReadonlyMap<string, number>;
-  /** What was sent since the last digest. */
+  /** Requests sent since the last digest. */
   sent: readonly SentCount[];
   demands: readonly WorkspaceDemand[];
 }
 
-/** All sections, for reading. */
+/** Read-only access to all sections. */
 export interface Board {
   configuration: Section<Configuration>;
   fleet: Section<Fleet>;
@@ -150,7 +151,7 @@
   attempts: Section<Attempts>;
 }
 
-/** The same sections with the right to write; each is handed to its one writer. */
+/** Write access to all sections; each section is passed to its single writer. */
 export interface BoardWriters {
   configuration: WritableSection<Configuration>;
   fleet: WritableSection<Fleet>;
