--- a/src/objects/schemas.ts
+++ b/src/objects/schemas.ts
@@ -1,64 +1,64 @@
 /**
- * The kinds of object kept in the platform's service, and the schema of each.
+ * Kinds of objects stored by the platform and their schemas.
  *
- * `model`, `service`, `workspace` and `policy` are what operators write. `instance` is the
- * platform's own lagging list. `domain-plan`, `call-record` and `call-index` are written by the entries.
- * Every stored object carries the platform's revision of its last change as its `version`:
- * revisions are shared by all kinds and only grow.
+ * Operators write `model`, `service`, `workspace` and `policy`. The platform writes `instance`, with
+ * a delay. Entries write `domain-plan`, `call-record` and `call-index`. The `version` of a stored
+ * object is the platform's revision at its last change; revisions are shared by all kinds and
+ * increase monotonically.
  */
 import * as z from 'zod';
 import { labelsSchema, selectorSchema } from '../core/labels/index.js';
 
-/** A name as objects and instances carry it. */
+/** Name of an object or instance. */
 export const nameSchema = z
   .string()
   .max(120)
   .regex(/^[a-z0-9]([a-z0-9._-]*[a-z0-9])?$/, 'lower-case letters, digits, ".", "_" and "-"');
 
-const positive = z.number().int().positive();
-const count = z.number().int().nonnegative();
+const positiveInteger = z.number().int().positive();
+const nonNegativeInteger = z.number().int().nonnegative();
 
 /** A model and the instances that may serve it. */
 export const modelSchema = z.strictObject({
   labels: labelsSchema.default({}),
-  /** Which engine instances may serve it. */
+  /** Selects the engine instances that may serve the model. */
   selector: selectorSchema.default([]),
-  /** Version of the weights that engines are to load. */
+  /** Version of the weights to load. */
   weights: z.string().min(1).max(200).default('1'),
-  /** Instances that form one replica; all of one fabric domain. */
-  replicaSize: positive.max(64).default(1),
-  /** Replicas wanted over all fabric domains. */
-  replicas: count.max(10_000),
-  /** Higher is served first when instances are short. */
+  /** Number of instances in one replica; all belong to the same fabric domain. */
+  replicaSize: positiveInteger.max(64).default(1),
+  /** Desired number of replicas across all fabric domains. */
+  replicas: nonNegativeInteger.max(10_000),
+  /** Models with a higher value take precedence when instances are scarce. */
   importance: z.number().int().min(0).max(100).default(50),
   adapters: z.array(nameSchema).max(64).default([]),
 });
 
-/** How calls to some paths of a plain service may be treated. The first rule that matches wins. */
+/** Defines how matching calls to a plain service are handled. The first matching rule applies. */
 export const callRuleSchema = z.strictObject({
   method: z.enum(['GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS', '*']).default('*'),
-  /** Matches the path itself and what is below it. */
+  /** Matches this path and all paths below it. */
   pathPrefix: z.string().startsWith('/').default('/'),
   /**
-   * `repeatable`: may be sent again after an unknown outcome. `once`: runs at most once and needs
-   * an Idempotency-Key. `single`: never sent twice by the system, no key needed.
+   * `repeatable`: may be retried after an unknown outcome. `once`: executed at most once, requires
+   * an Idempotency-Key. `single`: never retried by the system, requires no key.
    */
   handling: z.enum(['repeatable', 'once', 'single']),
 });
 
-/** A plain service beside the model engines. */
+/** A service whose backend servers are not model engines. */
 export const serviceSchema = z.strictObject({
   labels: labelsSchema.default({}),
   selector: selectorSchema.default([]),
-  /** Without a matching rule, GET, HEAD and OPTIONS are repeatable and the rest `single`. */
+  /** Without a matching rule, GET, HEAD and OPTIONS are `repeatable`, all other methods `single`. */
   rules: z.array(callRuleSchema).max(64).default([]),
-  timeoutMs: positive.max(600_000).default(10_000),
+  timeoutMs: positiveInteger.max(600_000).default(10_000),
 });
 
-/** Names of the request classes; policy maps each to an engine priority and deadline. */
+/** Request classes; the policy maps each to an engine priority and a default deadline. */
 export const requestClassSchema = z.enum(['gate', 'interactive', 'batch']);
 
-/** Who is served, and how much. */
+/** A workspace: its API keys, limits and permitted request classes, models and services. */
 export const workspaceSchema = z.strictObject({
   labels: labelsSchema.default({}),
   /** SHA-256 of each API key, in hexadecimal. */
@@ -69,27 +69,27 @@
   limits: z
     .strictObject({
       requestsPerSecond: z.number().positive().default(1_000),
-      concurrentRequests: positive.default(1_000),
+      concurrentRequests: positiveInteger.default(1_000),
       tokensPerSecond: z.number().positive().default(300_000),
     })
     .prefault({}),
-  /** Share of an entry's queue relative to other workspaces. */
+  /** Relative weight in an entry's queue. */
   weight: z.number().positive().max(1_000).default(1),
   classes: z.array(requestClassSchema).min(1).default(['gate', 'interactive', 'batch']),
-  /** Models and services it may use, by their labels. */
+  /** Selects the models and services that the workspace may use. */
   selector: selectorSchema.default([]),
 });
 
 const classPolicySchema = z.strictObject({
-  /** Higher is scheduled first by the engines. */
+  /** Engines schedule requests with a higher priority first. */
   priority: z.number().int().min(0).max(9),
-  /** Deadline for a request that names none. */
-  deadlineMs: positive.max(3_600_000),
+  /** Deadline of requests that don't specify one. */
+  deadlineMs: positiveInteger.max(3_600_000),
 });
 
-/** System-wide policy; one object, named `default`. */
+/** System-wide policy; there is a single object, named `default`. */
 export const policySchema = z.strictObject({
-  /** What the planner weighs: time a replica cannot serve against idle healthy accelerators. */
+  /** Weights of the planner's objective: replica downtime and healthy but idle accelerators. */
   objective: z
     .strictObject({
       groupDowntime: z.number().nonnegative().default(1),
@@ -103,76 +103,76 @@
       batch: classPolicySchema.prefault({ priority: 1, deadlineMs: 600_000 }),
     })
     .prefault({}),
-  /** Engines that refuse an order with an old fencing number. The others ignore the number. */
+  /** Selects the engines that refuse orders with an outdated fencing token; others ignore it. */
   fencingChecked: selectorSchema.default([]),
-  /** How long the outcome of a call that may run only once is kept. */
-  callRecordRetentionMs: positive.default(86_400_000),
+  /** How long the outcomes of `once` calls are kept. */
+  callRecordRetentionMs: positiveInteger.default(86_400_000),
 });
 
-/** An instance as the platform lists it; late by the platform's lag. */
+/** An instance in the platform's list, which is updated with a delay. */
 export const instanceSchema = z.strictObject({
   role: z.enum(['entry', 'engine', 'service']),
-  /** `host:port`, an IP number and a port. */
+  /** `host:port`, where `host` is an IP address. */
   address: z.string().regex(/^[^:\s]+:\d{1,5}$/),
   state: z.enum(['live', 'leaving']).default('live'),
   region: nameSchema.default('default'),
   failureDomain: nameSchema,
-  /** Only entries have one: where the other entries reach it. */
+  /** Address for connections from other entries; only present for entries. */
   peerAddress: z
     .string()
     .regex(/^[^:\s]+:\d{1,5}$/)
     .optional(),
-  /** Only engines have one. */
+  /** Only present for engines. */
   fabricDomain: nameSchema.optional(),
   labels: labelsSchema.default({}),
 });
 
-/** One start of one instance: a restarted process has another incarnation. */
+/** Identifies one run of an instance; a restarted process has a new incarnation. */
 export const incarnationSchema = z.string().min(1).max(80);
 
 export const replicaPhaseSchema = z.enum(['planned', 'loading', 'whole', 'draining', 'released']);
 
-/** One replica of a model: instances of one fabric domain that serve together or not at all. */
+/** A replica of a model: instances of one fabric domain that can only serve together. */
 export const replicaSchema = z.strictObject({
   id: nameSchema,
   model: nameSchema,
   weights: z.string(),
-  /** Grows with every plan change that touches the replica; orders carry it. */
-  fence: count,
+  /** Fencing token sent with orders; increases with each plan change that affects the replica. */
+  fence: nonNegativeInteger,
   phase: replicaPhaseSchema,
-  /** In rank order: the first leads and takes the requests. */
+  /** In rank order; the first member is the leader and receives the requests. */
   members: z.array(z.strictObject({ instance: nameSchema, incarnation: incarnationSchema })),
 });
 
-/** All replicas of one fabric domain and who may change them, in one object. */
+/** The replicas of one fabric domain and the entry that may change them. */
 export const domainPlanSchema = z.strictObject({
-  /** Absent until a first owner has taken the domain. */
+  /** Absent until an entry has taken ownership of the domain. */
   owner: z
     .strictObject({
       entry: nameSchema,
       incarnation: incarnationSchema,
-      /** Grows by one each time the domain changes hands. */
-      term: count,
-      /** How long after its last seen change the others leave the owner alone. */
-      leaseMs: positive,
-      /** Grows with each renewal, so that a renewal is a change. */
-      renewal: count,
+      /** Increases by one with each change of ownership. */
+      term: nonNegativeInteger,
+      /** How long after its last observed change the owner's lease is respected by other entries. */
+      leaseMs: positiveInteger,
+      /** Increases with each lease renewal, so that a renewal changes the object. */
+      renewal: nonNegativeInteger,
     })
     .optional(),
-  /** The last fencing number given out in this domain. */
-  fence: count,
+  /** The last fencing token issued in this domain. */
+  fence: nonNegativeInteger,
   replicas: z.array(replicaSchema),
-  /** Healthy instances kept free on purpose. */
+  /** Healthy instances that are intentionally kept unassigned. */
   spares: z.array(nameSchema),
 });
 
-/** The record of one call that may run only once, by workspace and Idempotency-Key. */
+/** Record of a `once` call, identified by workspace and Idempotency-Key. */
 export const callRecordSchema = z.strictObject({
   workspace: nameSchema,
   service: nameSchema,
-  /** Hash of method, path and body: another request under the same key is refused. */
+  /** Hash of method, path and body; a different request with the same key is refused. */
   fingerprint: z.string(),
-  /** Who may send the call, and from which start of that entry. */
+  /** The entry, and its incarnation, that may send the call. */
   entry: nameSchema,
   incarnation: incarnationSchema,
   state: z.discriminatedUnion('kind', [
@@ -184,34 +184,35 @@
       /** Base64. */
       body: z.string(),
     }),
-    /** Ran and was answered, with an answer too large to keep. */
+    /** Executed and answered, but the response was too large to store. */
     z.strictObject({ kind: z.literal('answerTooLarge'), status: z.number().int() }),
-    /** Proved not to have reached any backend server: the key may be claimed again. */
+    /** Known not to have reached any backend server; the key may be claimed again. */
     z.strictObject({ kind: z.literal('notRun') }),
     z.strictObject({ kind: z.literal('unknown') }),
   ]),
 });
 
-/** What is left of a call record past the retention: only that its key was used. */
+/** Tombstone of a call record after the retention period; only marks the key as used. */
 export const expiredCallRecordSchema = z.strictObject({
   state: z.strictObject({ kind: z.literal('expired') }),
 });
 
 /**
- * By which call records past the retention are found without listing all: an `hour` names the
- * series of lists whose records are to be removed in it, a `list` names records of one entry.
+ * Index for finding expired call records without listing all. An `hour` object contains the series
+ * of lists whose records are due for removal in that hour; a `list` object contains records written
+ * by one entry.
  */
 export const callIndexSchema = z.discriminatedUnion('kind', [
   z.strictObject({ kind: z.literal('hour'), series: z.array(nameSchema).max(8_000) }),
   z.strictObject({
     kind: z.literal('list'),
     records: z
-      .array(z.strictObject({ name: nameSchema, version: count, timed: z.boolean() }))
+      .array(z.strictObject({ name: nameSchema, version: nonNegativeInteger, timed: z.boolean() }))
       .max(8_000),
   }),
 ]);
 
-/** The schema of each kind's value. */
+/** Schemas of the objects' values by kind. */
 export const OBJECT_SCHEMAS = {
   model: modelSchema,
   service: serviceSchema,
@@ -235,20 +236,20 @@
 ] as const;
 export const objectKindSchema = z.enum(OBJECT_KINDS);
 
-/** The kinds that operators write; together they are the configuration. */
+/** Kinds written by operators, which make up the configuration. */
 export const CONFIGURATION_KINDS = ['model', 'service', 'workspace', 'policy'] as const;
 export const configurationKindSchema = z.enum(CONFIGURATION_KINDS);
 
-/** An object as the platform stores it. A deleted one is kept as a tombstone without value. */
+/** An object as stored by the platform. Deleted objects remain as tombstones without a value. */
 export const storedObjectSchema = z.object({
   kind: objectKindSchema,
   name: nameSchema,
-  /** The platform's revision of the last change. */
-  version: count,
-  /** Given by the writer of that change, so that it recognises its own after a lost answer. */
+  /** The platform's revision at the last change. */
+  version: nonNegativeInteger,
+  /** Chosen by the writer of the last change to identify its own write after a lost response. */
   nonce: z.string(),
   deleted: z.boolean(),
-  /** Checked against the kind's schema by whoever uses it; null in a tombstone. */
+  /** Not validated here; readers apply the schema of the kind. Null in a tombstone. */
   value: z.unknown(),
 });
 
