--- a/features/platform/early-answers.steps.ts
+++ b/features/platform/early-answers.steps.ts
@@ -1,5 +1,5 @@
 /**
- * A watch loop over a platform that does not wait for news.
+ * Steps for a watch loop whose platform answers watches immediately.
  */
 import assert from 'node:assert/strict';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -12,21 +12,24 @@
 } from '../../src/adapters/platform/index.js';
 import { createRandom } from '../../src/core/random/index.js';
 
-interface EarlyWorld {
-  answeredEarly: number;
+interface EarlyAnswersWorld {
+  watchCalls: number;
 }
 
-/** Then it falls silent, so that a loop without pauses ends as well. */
-const MOST_ANSWERS = 1_000;
+/** Number of answered watches; later ones never resolve, so that a loop without pauses ends too. */
+const MAX_ANSWERS = 1_000;
 
-Given('a platform that answers every watch at once and without news', function (this: EarlyWorld) {
-  this.answeredEarly = 0;
-});
+Given(
+  'a platform that answers every watch at once and without news',
+  function (this: EarlyAnswersWorld) {
+    this.watchCalls = 0;
+  },
+);
 
-When('it is watched for {int} ms', async function (this: EarlyWorld, ms: number) {
+When('it is watched for {int} ms', async function (this: EarlyAnswersWorld, ms: number) {
   const watch = (): ResultAsync<ObjectList, PlatformFailure> => {
-    this.answeredEarly += 1;
-    return this.answeredEarly > MOST_ANSWERS
+    this.watchCalls += 1;
+    return this.watchCalls > MAX_ANSWERS
       ? new ResultAsync(new Promise(() => undefined))
       : okAsync({ objects: [], revision: 0 });
   };
@@ -40,10 +43,10 @@
   });
   loop.start();
   await sleep(ms);
-  // Not waited for: without pauses it hangs in the call that is never answered.
+  // Not awaited: a loop without pauses hangs in the watch that never resolves.
   void loop.stop();
 });
 
-Then('it was asked at most {int} times', function (this: EarlyWorld, most: number) {
-  assert.ok(this.answeredEarly <= most, `asked ${this.answeredEarly} times`);
+Then('it was asked at most {int} times', function (this: EarlyAnswersWorld, max: number) {
+  assert.ok(this.watchCalls <= max, `asked ${this.watchCalls} times`);
 });
--- a/features/platform/fixture.ts
+++ b/features/platform/fixture.ts
@@ -1,5 +1,5 @@
 /**
- * What the scenarios of the platform share: a stand-in, perhaps a proxy, and a client.
+ * Shared fixture of the platform scenarios: a platform stand-in, an optional proxy and a client.
  */
 import {
   createPlatformClient,
@@ -28,19 +28,19 @@
   batch?: Result<WriteOutcome[], PlatformFailure>;
   watcher?: Watcher;
   elapsedMs: number;
-  /** What came of calls that waited when the client was closed. */
-  closing: { calls: number; failed: number; unhandled: readonly unknown[] };
-  /** When a scripted watch was called. */
-  watchedAt: number[];
+  /** Results of the calls that were pending when the client was closed. */
+  callsDuringClose: { calls: number; failed: number; unhandled: readonly unknown[] };
+  /** Times of the calls to a stubbed `watch`. */
+  watchCallTimes: number[];
   retryAfterMs: number;
 }
 
-/** A watch loop with what it was given. */
+/** A watch loop and everything it has reported. */
 export interface Watcher {
   loop: WatchLoop;
   lists: ObjectList[];
   seen: Map<string, StoredObject>;
-  order: string[];
+  receivedNames: string[];
   failures: PlatformFailure[];
 }
 
@@ -79,7 +79,10 @@
   since = 0,
   random: Random = createRandom(2),
 ): Watcher {
-  const watcher = { lists: [], seen: new Map(), order: [], failures: [] } as Omit<Watcher, 'loop'>;
+  const watcher = { lists: [], seen: new Map(), receivedNames: [], failures: [] } as Omit<
+    Watcher,
+    'loop'
+  >;
   const loop = createWatchLoop({
     platform: client,
     kinds: OBJECT_KINDS,
@@ -92,7 +95,7 @@
       watcher.lists.push(list);
       for (const object of list.objects) {
         watcher.seen.set(`${object.kind}/${object.name}`, object);
-        watcher.order.push(object.name);
+        watcher.receivedNames.push(object.name);
       }
     },
     onFailure: (failure) => watcher.failures.push(failure),
@@ -105,7 +108,7 @@
   return { kind: 'model', name, expected, nonce, value: { written: nonce } };
 }
 
-/** Writes to `name` that took effect, as the platform itself noted them. */
+/** Counts the writes to `name` that took effect, according to the platform's journal. */
 export function countWrites(platform: PlatformStandIn, name: string): number {
   return platform.journal().filter((entry) => entry.object.name === name).length;
 }
--- a/features/platform/platform.feature
+++ b/features/platform/platform.feature
@@ -1,19 +1,19 @@
 Feature: The platform's objects
-  What is kept lives in the platform alone. Its answers may be lost, late or old, and it may be
-  away; what an entry is told of its own writes must be true all the same.
+  Responses of the platform may be lost, delayed or stale, and the platform may be unavailable. The
+  write outcomes reported to an entry must be correct nevertheless.
 
   Background:
     Given a platform stand-in and a client of it
 
   Scenario: two writers of one version
-    Two operators change the same object at once. One sees their change in force, the other is
-    told which version won.
+    Of two concurrent writes one must succeed; the other must get a conflict with the winning
+    version.
     When two writes of object "m" from version 0 are made at once
     Then one write was written and the other conflicts with it
 
   Scenario: an answer lost after the effect
-    The platform makes the change and its answer is lost. Without the nonce the writer would take
-    its own change for somebody else's and give up, or make it twice.
+    Without the nonce, a writer whose response is lost would mistake its own change for a conflict
+    or apply it twice.
     Given the platform loses the answer to the next write after its effect
     When object "m" is written from version 0 with nonce "n1"
     Then the write was written with nonce "n1"
@@ -26,8 +26,7 @@
     And the platform's journal shows 1 write of "a"
 
   Scenario: a write that takes effect after its writer gave up on it
-    A slow platform holds a write. Its writer hears nothing and sends it again, which succeeds, and
-    goes on. Then the first one goes through at last. It must change nothing.
+    A delayed write that is processed after its retry has succeeded must not change the object.
     Given the platform holds the next 1 writes
     When object "m" is written from version 0 with nonce "n1"
     Then the write was written with nonce "n1"
@@ -36,8 +35,8 @@
     Then the platform's journal shows 2 writes of "m"
 
   Scenario: a write that is still under way when its writer asks how it ended
-    Every sending of a write is held. Its writer may not be told that it failed, for it takes
-    effect afterwards. The same write, made again, tells how it ended.
+    A write whose attempts are all delayed must not be reported as failed, as it takes effect later.
+    Repeating it must return its outcome.
     Given the platform holds the next 3 writes
     When object "m" is written from version 0 with nonce "n1"
     Then the write's outcome is unknown
@@ -47,7 +46,7 @@
     And the platform's journal shows 1 write of "m"
 
   Scenario: what is said of a write is true under every order of events
-    Sendings take effect at any time or never, answers are lost, and others write in between.
+    Attempts take effect at any time or never, responses are lost, and others write in between.
     Then over 500 random orders of events no outcome of a settled write is false
 
   Scenario: an outage
@@ -77,8 +76,7 @@
     And the platform itself refuses a value of that size with status 413
 
   Scenario: a watch through an outage
-    An entry watches while the platform goes away. Changes made meanwhile must reach it once the
-    platform is back.
+    Changes made during an outage must reach a watching entry once the platform is back.
     Given a watch loop over all kinds
     When the platform cuts every connection
     Then the watch loop reports a failure
@@ -86,9 +84,8 @@
     Then the watch loop has seen the newest "m"
 
   Scenario: a watch that was sent before the platform fell silent
-    A watch waits when the platform falls silent, and its connection brings nothing any more. The
-    platform is back, other calls of the entry learn that at once, and the watch goes on waiting to
-    its end: callers are served by a configuration that was replaced seconds ago.
+    Guards against a stale configuration: once another call succeeds after an outage, a watch on a
+    dead connection must be repeated instead of waiting for its timeout.
     Given a watch loop over all kinds
     And its watch waits
     When the platform falls silent and object "m" changes
@@ -96,8 +93,7 @@
     Then the watch loop has the newest "m" within 1000 ms of the next answered call
 
   Scenario: a watch loop that stays away after failures when the platform is back
-    The longer an outage, the longer the loop stays away between two tries. Another call is answered
-    meanwhile; without its word the loop sleeps on, and news waits for it.
+    A watch loop in a long back-off must try again as soon as another call succeeds.
     Given a watch loop over all kinds whose waits are the longest
     When the platform cuts every connection until the watch loop has failed 4 times
     And object "m" changes at the platform and the platform is well again
@@ -108,8 +104,8 @@
     Then the watch loop calls again, and no sooner
 
   Scenario: a watch that is answered from an old copy
-    The platform fails over to a copy that lacks the last changes, and an entry that has seen them
-    asks it. Taking the answer would put an older configuration in force again.
+    After a failover to a stale copy, an entry that has seen later changes must not return to an
+    older configuration.
     Given object "m" changed at the platform and the platform answers from its copy of now
     When a watch loop starts that has seen a later revision
     Then the watch loop reports a failure
@@ -118,8 +114,8 @@
     Then the watch loop has seen the newest "m"
 
   Scenario: the instance list lags behind other kinds
-    An instance and then a model change; watchers hear of the model first. The instance must not
-    be lost to a watcher that has gone past the revision at which it was written.
+    A delayed instance change must reach a watcher that has already seen a later revision of another
+    kind.
     Given a watch loop over all kinds
     And the platform's list of instances lags by 200 ms
     When an instance "i" and then a model "m" change at the platform
@@ -134,8 +130,8 @@
     Then it stopped at once
 
   Scenario: a client is closed while calls wait
-    An entry stops while the platform is silent. The calls that wait end without an answer, which is
-    no reason to open connections anew: a rejection that nobody handles would end the process.
+    Pending calls that end when the client is closed must not open new connections: an unhandled
+    rejection would terminate the process.
     When the platform falls silent and object "m" changes
     And the client is closed while 3 calls wait
     Then the calls have failed and no rejection was left unhandled
--- a/features/platform/platform.steps.ts
+++ b/features/platform/platform.steps.ts
@@ -80,11 +80,11 @@
   'a watch loop whose first call is refused for {int} ms',
   function (this: PlatformWorld, retryAfterMs: number) {
     this.retryAfterMs = retryAfterMs;
-    this.watchedAt = [];
+    this.watchCallTimes = [];
     const refusal = createFailure('platformUnavailable', { reason: 'busy' }, retryAfterMs);
     const watch: Platform['watch'] = (kinds, since, waitMs, signal) => {
-      this.watchedAt.push(performance.now());
-      if (this.watchedAt.length === 1) return errAsync(refusal);
+      this.watchCallTimes.push(performance.now());
+      if (this.watchCallTimes.length === 1) return errAsync(refusal);
       return this.client.watch(kinds, since, waitMs, signal);
     };
     this.watcher = startWatcher({ watch, onReturn: () => () => undefined });
@@ -211,22 +211,26 @@
   'the client is closed while {int} calls wait',
   async function (this: PlatformWorld, calls: number) {
     const unhandled: unknown[] = [];
-    const note = (reason: unknown): void => {
+    const recordRejection = (reason: unknown): void => {
       unhandled.push(reason);
     };
-    // cucumber has a listener of its own, which would lay the blame on whatever step runs then.
-    const before = process.listeners('unhandledRejection');
-    process.removeAllListeners('unhandledRejection').on('unhandledRejection', note);
+    // Cucumber's own listener would attribute the rejection to whichever step is running.
+    const originalListeners = process.listeners('unhandledRejection');
+    process.removeAllListeners('unhandledRejection').on('unhandledRejection', recordRejection);
     const reads = Array.from({ length: calls }, () => this.client.read('policy', 'default'));
     await waitFor('the calls to wait', () => this.platform.counters().read >= calls);
     await this.client.close();
     const answers = await Promise.all(reads);
-    // Rejections are reported when the turn that left them has ended.
+    // Unhandled rejections are only reported after the current event loop turn.
     await new Promise((resolve) => setImmediate(resolve));
     await new Promise((resolve) => setImmediate(resolve));
     process.removeAllListeners('unhandledRejection');
-    for (const listener of before) process.on('unhandledRejection', listener);
-    this.closing = { failed: answers.filter((answer) => answer.isErr()).length, calls, unhandled };
+    for (const listener of originalListeners) process.on('unhandledRejection', listener);
+    this.callsDuringClose = {
+      failed: answers.filter((answer) => answer.isErr()).length,
+      calls,
+      unhandled,
+    };
   },
 );
 
@@ -238,15 +242,15 @@
 });
 
 Then('the watch loop calls again, and no sooner', async function (this: PlatformWorld) {
-  await waitFor('the second call', () => this.watchedAt.length >= 2);
-  const [first = 0, second = 0] = this.watchedAt;
+  await waitFor('the second call', () => this.watchCallTimes.length >= 2);
+  const [first = 0, second = 0] = this.watchCallTimes;
   // Timers may fire up to a millisecond early.
   assert.ok(second - first >= this.retryAfterMs - 1, `came back after ${second - first} ms`);
 });
 
 Then('the calls have failed and no rejection was left unhandled', function (this: PlatformWorld) {
-  assert.equal(this.closing.failed, this.closing.calls);
-  assert.deepEqual(this.closing.unhandled, []);
+  assert.equal(this.callsDuringClose.failed, this.callsDuringClose.calls);
+  assert.deepEqual(this.callsDuringClose.unhandled, []);
 });
 
 Then('it stopped at once', function (this: PlatformWorld) {
@@ -281,11 +285,11 @@
 
 Then('one write was written and the other conflicts with it', function (this: PlatformWorld) {
   const outcomes = this.outcomes.map((outcome) => outcome._unsafeUnwrap());
-  const won = outcomes.find((outcome) => outcome.kind === 'written');
-  const lost = outcomes.find((outcome) => outcome.kind === 'conflict');
-  assert.ok(won && lost);
-  assert.deepEqual(lost.current, won.object);
-  assert.equal(lost.maybeSuperseded, undefined);
+  const written = outcomes.find((outcome) => outcome.kind === 'written');
+  const conflict = outcomes.find((outcome) => outcome.kind === 'conflict');
+  assert.ok(written && conflict);
+  assert.deepEqual(conflict.current, written.object);
+  assert.equal(conflict.maybeSuperseded, undefined);
 });
 
 Then('the write was written with nonce {string}', function (this: PlatformWorld, nonce: string) {
@@ -366,21 +370,21 @@
 
 Then(
   'the watch loop has the newest {string} within {int} ms of the next answered call',
-  async function (this: PlatformWorld, name: string, boundMs: number) {
+  async function (this: PlatformWorld, name: string, maxMs: number) {
     assert.ok((await this.client.read('policy', 'default')).isOk());
     const answeredAt = performance.now();
     const version = this.platform.journal().at(-1)?.object.version;
     await waitFor('the change', () => this.watcher?.seen.get(`model/${name}`)?.version === version);
-    const tookMs = performance.now() - answeredAt;
-    assert.ok(tookMs <= boundMs, `the change came ${Math.round(tookMs)} ms after the answer`);
+    const elapsedMs = performance.now() - answeredAt;
+    assert.ok(elapsedMs <= maxMs, `the change came ${Math.round(elapsedMs)} ms after the answer`);
   },
 );
 
 Then(
   'the watch loop has seen {string} before {string}',
   async function (this: PlatformWorld, first: string, second: string) {
-    await waitFor('both changes', () => this.watcher?.order.length === 2);
-    assert.deepEqual(this.watcher?.order, [first, second]);
+    await waitFor('both changes', () => this.watcher?.receivedNames.length === 2);
+    assert.deepEqual(this.watcher?.receivedNames, [first, second]);
   },
 );
 
@@ -400,15 +404,15 @@
 );
 
 Then('waits between attempts are never longer than their doubled or greatest bound', function () {
-  const waits = fc.record({
+  const backoffArbitrary = fc.record({
     attempt: fc.integer({ min: 1, max: 10_000 }),
     baseMs: fc.integer({ min: 1, max: 10_000 }),
     maxMs: fc.integer({ min: 1, max: 100_000 }),
     seed: fc.integer(),
   });
-  const holds = fc.property(waits, ({ attempt, baseMs, maxMs, seed }) => {
+  const property = fc.property(backoffArbitrary, ({ attempt, baseMs, maxMs, seed }) => {
     const waitMs = nextBackoff(attempt, { baseMs, maxMs }, createRandom(seed));
     assert.ok(waitMs >= 0 && waitMs <= Math.min(baseMs * 2 ** (attempt - 1), maxMs));
   });
-  fc.assert(holds, { seed: 7, numRuns: 1_000 });
+  fc.assert(property, { seed: 7, numRuns: 1_000 });
 });
--- a/features/platform/proxy.feature
+++ b/features/platform/proxy.feature
@@ -1,12 +1,12 @@
 Feature: Faults of the link to the platform
-  The same client, through the proxy that stands for a poor link.
+  The platform client connects through a proxy that simulates an unreliable network link.
 
   Background:
     Given a platform stand-in and a client of it through the proxy
 
   Scenario: a cut of the way back
-    A partition lets calls through and swallows the answers. The write takes effect and its
-    writer can't know; when the link is back it must learn the truth.
+    A one-way partition drops the responses. Once the link is restored, the writer must learn that
+    its write took effect.
     Given the proxy cuts the way to the source
     When object "m" is written from version 0 with nonce "n1"
     Then the write's outcome is unknown
@@ -16,8 +16,8 @@
     And the platform's journal shows 1 write of "m"
 
   Scenario: a watch whose answer fell into a cut
-    The answer to a waiting watch is swallowed and then the link is back. A connection with a hole
-    in its stream must end, so that the watch is made again and the change is not missed.
+    A connection that has lost data must be closed, so that the watch is repeated and the change is
+    not missed.
     Given a watch loop over all kinds
     And the proxy cuts the way to the source
     When object "m" changes at the platform and the proxy swallows the news
@@ -26,9 +26,8 @@
     And the watch loop has seen the newest "m"
 
   Scenario: idle connections that went silent together
-    Calls have left connections open when the link loses its memory of them all: nothing comes
-    back on them any more, and new ones work. Each kept connection would cost another call its
-    whole timeout, and a claim its answer, for as long as there are any.
+    If idle connections die without being closed, at most one call may run into its timeout; later
+    calls must use new connections.
     Given 6 calls at once have left their connections open
     And the proxy keeps back everything on the connections open now
     When one call gets no answer
@@ -63,8 +62,8 @@
       | 60    |
 
   Scenario: a write overtaken by its own repeat
-    The first sending is stuck in the network and its repeat, on another connection, arrives
-    first. The first one arrives when its writer has long gone on.
+    A write delayed in the network arrives after its retry, which was sent on another connection. It
+    must not take effect again.
     Given the proxy holds what the next connection sends
     When object "m" is written from version 0 with nonce "n1"
     Then the write was written with nonce "n1"
@@ -72,13 +71,13 @@
     Then the platform's journal shows 1 write of "m"
 
   Scenario: a slow and narrow link
-    Bytes must arrive whole and in order, and not sooner than the link lets them.
+    Data must arrive complete and in order, and no faster than the link's bandwidth permits.
     Given the proxy delays by 20 ms each way and passes 2000000 bytes a second
     When an object of 300000 bytes is written and read back
     Then it is the same and took at least 300 ms
 
   Scenario: a reset that meets a closing half
-    A test resets a connection whose sending half is just being closed. Node refuses that and loses
-    the handle: the other side would hear nothing and wait until the test's process ended.
+    Node can't reset a socket whose sending half is being closed and leaks its handle, so that the
+    other side would never see the connection closed.
     When a connection ends its sending half and is reset at once
     Then the other side sees it closed within 2000 ms
--- a/features/platform/proxy.steps.ts
+++ b/features/platform/proxy.steps.ts
@@ -7,9 +7,9 @@
 
 const LARGE_CALL_TIMEOUT_MS = 10_000;
 
-async function switchProxy(world: PlatformWorld, control: ProxyControl): Promise<void> {
-  const switched = await world.proxy?.control(control);
-  assert.ok(switched?.isOk());
+async function controlProxy(world: PlatformWorld, control: ProxyControl): Promise<void> {
+  const result = await world.proxy?.control(control);
+  assert.ok(result?.isOk());
 }
 
 Given(
@@ -20,11 +20,11 @@
 );
 
 Given('the proxy cuts the way to the source', async function (this: PlatformWorld) {
-  await switchProxy(this, { cut: 'toSource' });
+  await controlProxy(this, { cut: 'toSource' });
 });
 
 Given('the proxy cuts the way to the target', async function (this: PlatformWorld) {
-  await switchProxy(this, { cut: 'toTarget' });
+  await controlProxy(this, { cut: 'toTarget' });
 });
 
 Given(
@@ -44,14 +44,14 @@
 });
 
 Given('the proxy holds what the next connection sends', async function (this: PlatformWorld) {
-  await switchProxy(this, { holdNext: 1 });
+  await controlProxy(this, { holdNext: 1 });
 });
 
 Given(
   'the proxy delays by {int} ms each way and passes {int} bytes a second',
   async function (this: PlatformWorld, delayMs: number, bytesPerSecond: number) {
-    const way = { delayMs, bytesPerSecond };
-    await switchProxy(this, { toTarget: way, toSource: way });
+    const direction = { delayMs, bytesPerSecond };
+    await controlProxy(this, { toTarget: direction, toSource: direction });
   },
 );
 
@@ -65,7 +65,7 @@
 Given(
   'the proxy keeps back everything on the connections open now',
   async function (this: PlatformWorld) {
-    await switchProxy(this, { hold: 'both' });
+    await controlProxy(this, { hold: 'both' });
   },
 );
 
@@ -81,13 +81,13 @@
 );
 
 When('the proxy passes everything again', async function (this: PlatformWorld) {
-  await switchProxy(this, { cut: 'none' });
+  await controlProxy(this, { cut: 'none' });
 });
 
 When(
   'object {string} changes at the platform and the proxy swallows the news',
   async function (this: PlatformWorld, name: string) {
-    // Until the second watch waits at the platform, the change would be news to the first.
+    // Before the second watch reaches the platform, the change would still be sent to the first.
     await waitFor('the waiting watch', () => this.platform.counters().watch >= 2);
     this.platform.put('model', name, {});
     await waitFor('swallowed bytes', () => (this.proxy?.counters().swallowedBytes ?? 0) > 0);
@@ -95,20 +95,20 @@
 );
 
 When('the proxy refuses new connections', async function (this: PlatformWorld) {
-  await switchProxy(this, { refuse: true });
+  await controlProxy(this, { refuse: true });
 });
 
 When(
   'the proxy breaks the next connection after {int} bytes of its answer',
   async function (this: PlatformWorld, afterBytes: number) {
-    await switchProxy(this, { toSource: { breakAfter: { afterBytes } } });
+    await controlProxy(this, { toSource: { breakAfter: { afterBytes } } });
   },
 );
 
 When(
   'the proxy releases what it holds and the platform has counted {int} writes',
   async function (this: PlatformWorld, writes: number) {
-    await switchProxy(this, { release: true });
+    await controlProxy(this, { release: true });
     await waitFor('the late write', () => this.platform.counters().write === writes);
   },
 );
@@ -128,8 +128,8 @@
   },
 );
 
-Then('it is the same and took at least {int} ms', function (this: PlatformWorld, leastMs: number) {
-  assert.ok(this.elapsedMs >= leastMs, `took ${this.elapsedMs} ms`);
+Then('it is the same and took at least {int} ms', function (this: PlatformWorld, minMs: number) {
+  assert.ok(this.elapsedMs >= minMs, `took ${this.elapsedMs} ms`);
 });
 
 async function countAnswers({ client }: PlatformWorld, calls: number): Promise<number> {
--- a/features/platform/resets.steps.ts
+++ b/features/platform/resets.steps.ts
@@ -6,11 +6,11 @@
 
 interface ResetWorld {
   resetServer?: Server;
-  otherSide: Socket;
+  remoteSocket: Socket;
 }
 
 After(function (this: Partial<ResetWorld>) {
-  this.otherSide?.destroy();
+  this.remoteSocket?.destroy();
   this.resetServer?.close();
 });
 
@@ -20,13 +20,13 @@
   await once(server, 'listening');
   const { port } = server.address() as AddressInfo;
   const socket = connect({ port, host: '127.0.0.1', allowHalfOpen: true });
-  const [[otherSide]] = (await Promise.all([
+  const [[remoteSocket]] = (await Promise.all([
     once(server, 'connection'),
     once(socket, 'connect'),
   ])) as [[Socket], unknown];
-  this.otherSide = otherSide;
-  otherSide.on('error', () => undefined);
-  otherSide.resume();
+  this.remoteSocket = remoteSocket;
+  remoteSocket.on('error', () => undefined);
+  remoteSocket.resume();
   socket.on('error', () => undefined);
   socket.end();
   resetSocket(socket);
@@ -34,16 +34,16 @@
 
 Then(
   'the other side sees it closed within {int} ms',
-  async function (this: ResetWorld, boundMs: number) {
-    // Its own end is not sent, so that only what the connection does can close it: a write to a
-    // connection that is gone is answered with a reset.
+  async function (this: ResetWorld, timeoutMs: number) {
+    // The remote socket isn't ended here, so that only the reset can close it: writing to a
+    // connection that no longer exists is answered with a reset.
     await waitFor(
       'the other side to be closed',
       () => {
-        if (!this.otherSide.destroyed) this.otherSide.write('x');
-        return this.otherSide.destroyed;
+        if (!this.remoteSocket.destroyed) this.remoteSocket.write('x');
+        return this.remoteSocket.destroyed;
       },
-      boundMs,
+      timeoutMs,
     );
   },
 );
--- a/features/platform/settled-writes.ts
+++ b/features/platform/settled-writes.ts
@@ -1,5 +1,5 @@
 /**
- * Property: what `settleSending` says of a write is true, whenever its sendings take effect.
+ * Property: the outcome that `settleSending` reports is correct, whenever the sendings take effect.
  */
 import assert from 'node:assert/strict';
 import fc from 'fast-check';
@@ -13,61 +13,66 @@
 import type { Random } from '../../src/core/random/index.js';
 import type { StoredObject } from '../../src/objects/index.js';
 
-/** What befalls one sending: when it arrives, whether it is answered, who writes before it. */
-const sendingFate = fc.record({
+/** One sending: when it arrives, whether it is answered, whether another write comes before it. */
+const sendingArbitrary = fc.record({
   arrival: fc.constantFrom('now', 'late', 'never'),
   isAnswered: fc.boolean(),
   otherWritesBefore: fc.boolean(),
 });
 
-const noWait: Random = { fraction: () => 0, below: () => 0 };
+const zeroRandom: Random = { fraction: () => 0, below: () => 0 };
 const write: PlatformWrite = { kind: 'model', name: 'm', expected: 1, nonce: 'own', value: 1 };
 
-/** One object of the platform and whether our write ever took effect. */
-function createCell() {
+/** Simulates one object of the platform and counts how often the write under test took effect. */
+function createSimulatedObject() {
   let current: StoredObject = { ...write, version: 1, nonce: 'first', deleted: false };
-  let effects = 0;
+  let effectCount = 0;
   const replace = (nonce: string): void => {
     current = { ...current, version: current.version + 1, nonce };
   };
   return {
-    effects: () => effects,
-    otherWrites: () => {
+    effectCount: () => effectCount,
+    writeByOther: () => {
       replace('other');
     },
-    arrive: (isRepeat: boolean): WriteOutcome => {
+    applyWrite: (isRepeat: boolean): WriteOutcome => {
       if (current.version !== write.expected) return resolveConflict(write, current, isRepeat);
       replace(write.nonce);
-      effects += 1;
+      effectCount += 1;
       return { kind: 'written', object: current };
     },
   };
 }
 
 export async function checkSettledWrites(runs: number): Promise<void> {
-  const fates = fc.array(sendingFate, { minLength: 3, maxLength: 3 });
-  const holds = fc.asyncProperty(fates, async (plan) => {
-    const cell = createCell();
-    const fatesLeft = [...plan];
-    let late = 0;
+  const sendingsArbitrary = fc.array(sendingArbitrary, { minLength: 3, maxLength: 3 });
+  const property = fc.asyncProperty(sendingsArbitrary, async (sendings) => {
+    const simulatedObject = createSimulatedObject();
+    const remainingSendings = [...sendings];
+    let lateSendings = 0;
     const send = (isRepeat: boolean): Promise<Sending<WriteOutcome>> => {
-      const fate = fatesLeft.shift();
-      if (fate?.otherWritesBefore) cell.otherWrites();
-      if (fate?.arrival === 'late') late += 1;
-      if (fate?.arrival !== 'now') return Promise.resolve({ kind: 'lost', reason: 'no answer' });
-      const value = cell.arrive(isRepeat);
-      if (!fate.isAnswered) return Promise.resolve({ kind: 'lost', reason: 'no answer' });
+      const sending = remainingSendings.shift();
+      if (sending?.otherWritesBefore) simulatedObject.writeByOther();
+      if (sending?.arrival === 'late') lateSendings += 1;
+      if (sending?.arrival !== 'now') return Promise.resolve({ kind: 'lost', reason: 'no answer' });
+      const value = simulatedObject.applyWrite(isRepeat);
+      if (!sending.isAnswered) return Promise.resolve({ kind: 'lost', reason: 'no answer' });
       return Promise.resolve({ kind: 'answered', value });
     };
-    const settled = await settleSending(send, { random: noWait, logger: silentLogger });
-    const effectsWhenTold = cell.effects();
-    for (; late > 0; late -= 1) cell.arrive(true);
+    const settled = await settleSending(send, { random: zeroRandom, logger: silentLogger });
+    const effectsWhenSettled = simulatedObject.effectCount();
+    for (; lateSendings > 0; lateSendings -= 1) simulatedObject.applyWrite(true);
 
-    assert.ok(cell.effects() <= 1, 'the write took effect twice');
+    assert.ok(simulatedObject.effectCount() <= 1, 'the write took effect twice');
     if (settled.isErr()) return;
-    assert.equal(cell.effects(), effectsWhenTold, 'it took effect after it was settled');
-    if (settled.value.kind === 'written') assert.equal(cell.effects(), 1);
-    else if (settled.value.maybeSuperseded === undefined) assert.equal(cell.effects(), 0);
+    assert.equal(
+      simulatedObject.effectCount(),
+      effectsWhenSettled,
+      'the write took effect after it was settled',
+    );
+    if (settled.value.kind === 'written') assert.equal(simulatedObject.effectCount(), 1);
+    else if (settled.value.maybeSuperseded === undefined)
+      assert.equal(simulatedObject.effectCount(), 0);
   });
-  await fc.assert(holds, { seed: 11, numRuns: runs });
+  await fc.assert(property, { seed: 11, numRuns: runs });
 }
--- a/features/platform/watched-changes.ts
+++ b/features/platform/watched-changes.ts
@@ -1,5 +1,5 @@
 /**
- * Property: a watch loop that misses no change ends with the platform's own state.
+ * Property: a watch loop misses no change and ends up with the platform's state.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import assert from 'node:assert/strict';
@@ -10,13 +10,13 @@
 import { waitFor } from '../support/waiting.js';
 import { startWatcher } from './fixture.js';
 
-const change = fc.record({
+const changeArbitrary = fc.record({
   kind: fc.constantFrom('instance' as const, 'model' as const, 'service' as const),
   name: fc.constantFrom('a', 'b', 'c'),
   isRemoval: fc.boolean(),
   lagMs: fc.constantFrom(0, 3, 15),
-  /** Lets watches come in between. */
-  pauses: fc.boolean(),
+  /** Allows a watch to be answered before the next change. */
+  pausesAfter: fc.boolean(),
 });
 
 const WATCHED_KINDS = ['instance', 'model', 'service'] as const;
@@ -31,16 +31,16 @@
   client: PlatformClient,
   runs: number,
 ): Promise<void> {
-  const holds = fc.asyncProperty(
-    fc.array(change, { minLength: 20, maxLength: 60 }),
-    async (plan) => {
+  const property = fc.asyncProperty(
+    fc.array(changeArbitrary, { minLength: 20, maxLength: 60 }),
+    async (changes) => {
       const watcher = startWatcher(client);
       const newest = new Map<string, string>();
-      for (const { kind, name, isRemoval, lagMs, pauses } of plan) {
+      for (const { kind, name, isRemoval, lagMs, pausesAfter } of changes) {
         platform.control({ instanceLagMs: lagMs });
         const object = isRemoval ? platform.remove(kind, name) : platform.put(kind, name, {});
         newest.set(`${kind}/${name}`, object.nonce);
-        if (pauses) await sleep(1);
+        if (pausesAfter) await sleep(1);
       }
       await waitFor('every newest change to be visible', async () => {
         const state = await readState(client);
@@ -58,5 +58,5 @@
       }
     },
   );
-  await fc.assert(holds, { seed: 5, numRuns: runs });
+  await fc.assert(property, { seed: 5, numRuns: runs });
 }
