--- a/src/core/collections/index.ts
+++ b/src/core/collections/index.ts
@@ -1,2 +1,2 @@
 export * from './group-by.js';
-export * from './keep-latest.js';
+export * from './memoize-latest.js';
