--- a/src/core/backoff/backoff.ts
+++ b/src/core/backoff/backoff.ts
@@ -1,25 +1,25 @@
 /**
- * How long to wait before a failed call is made again.
+ * Exponential backoff with full jitter for retries.
  */
 import type { Milliseconds } from '../clock/index.js';
 import type { Random } from '../random/index.js';
 
-/** Bounds of the waits between attempts. */
+/** Limits of the delay between attempts. */
 export interface Backoff {
-  /** Upper bound of the first wait; it doubles with each further attempt. */
+  /** Upper bound of the first delay; doubles with each failed attempt. */
   baseMs: Milliseconds;
-  /** Upper bound of every wait. */
+  /** Upper bound of every delay. */
   maxMs: Milliseconds;
 }
 
-// Beyond this exponent every base is past every sensible maximum, and 2 ** n stays finite.
+// Keeps 2 ** exponent finite; any base exceeds its maximum delay well before this.
 const MAX_EXPONENT = 30;
 
 /**
- * The wait before attempt `attempt + 1`, when `attempt` (1 and up) attempts have failed in a row.
+ * Returns the delay before the next attempt after `attempt` (1 or more) consecutive failures.
  *
- * Full jitter: the wait is uniform between 0 and the doubled bound. Callers that failed at the
- * same moment, as all do in an outage, would otherwise come back at the same moment as well.
+ * The delay is drawn uniformly between 0 and the exponential bound, so that callers that failed
+ * together in an outage do not retry together.
  *
  * @example const waitMs = nextBackoff(failures, { baseMs: 100, maxMs: 5_000 }, random);
  */
