--- a/src/core/clock/clock.ts
+++ b/src/core/clock/clock.ts
@@ -1,25 +1,25 @@
 /**
- * Time as the system sees it: a monotonic count of milliseconds that no decision reads by itself.
+ * Monotonic time in milliseconds.
  *
- * Every decision is given `now` as an argument. Shells read it from a {@link Clock}; tests and
- * embedders use a manual one. The origin is arbitrary: instants of two processes never compare.
+ * Decision functions receive `now` as an argument; only the code that performs I/O reads a
+ * {@link Clock}. The origin is arbitrary, so timestamps of different processes are not comparable.
  */
 
-/** A span of time, or an instant of one process's monotonic clock, in milliseconds. */
+/** A duration, or a timestamp of one process's monotonic clock, in milliseconds. */
 export type Milliseconds = number;
 
-/** A source of monotonic instants. */
+/** A source of monotonic timestamps. */
 export interface Clock {
   now(): Milliseconds;
 }
 
-/** A clock that stands still until it is moved. */
+/** A clock that moves only when it is advanced explicitly. */
 export interface ManualClock extends Clock {
   advance(span: Milliseconds): void;
 }
 
 /**
- * The process's own monotonic clock. It counts on while the process is suspended.
+ * Returns the monotonic clock of the process. It keeps running while the process is suspended.
  *
  * @example const clock = createSystemClock(); const startedAt = clock.now();
  */
@@ -28,7 +28,7 @@
 }
 
 /**
- * A clock for tests and embedders.
+ * Returns a manual clock for tests and embedders.
  *
  * @example const clock = createManualClock(); clock.advance(250);
  */
