--- a/src/core/collections/group-by.ts
+++ b/src/core/collections/group-by.ts
@@ -1,9 +1,10 @@
 /**
- * Sorting values into groups.
+ * Grouping of values by key.
  */
 
 /**
- * `values` by the key that `keyOf` gives each, in their order; those without a key are left out.
+ * Groups `values` by the key that `keyOf` returns, preserving their order. Values whose key is
+ * undefined are omitted.
  *
  * @example groupBy(servers, ({ service }) => service).get('models')
  */
--- a/src/core/collections/memoize-latest.ts
+++ b/src/core/collections/memoize-latest.ts
@@ -1,20 +1,20 @@
 /**
- * Keeping what was made last while nothing that it follows from changes.
+ * Memoization of the most recent call.
  */
 
 /**
- * `make`, called again only when one of its inputs is another value than the last time. For inputs that
- * are replaced and never changed in place.
+ * Wraps `compute` so that it runs again only when an input differs from the previous call. Inputs are
+ * compared with `Object.is`, so they must be replaced rather than mutated.
  *
- * @example const domainsOf = keepLatest((fleet: ServingFleet) => outline(fleet));
+ * @example const domainsOf = keepLatest((fleet: ServingFleet) => groupByDomain(fleet));
  */
 export function keepLatest<Inputs extends readonly unknown[], Value>(
-  make: (...inputs: Inputs) => Value,
+  compute: (...inputs: Inputs) => Value,
 ): (...inputs: Inputs) => Value {
   let latest: { inputs: Inputs; value: Value } | undefined;
   return (...inputs) => {
     const isSame = latest?.inputs.every((input, index) => Object.is(input, inputs[index]));
-    if (latest === undefined || !isSame) latest = { inputs, value: make(...inputs) };
+    if (latest === undefined || !isSame) latest = { inputs, value: compute(...inputs) };
     return latest.value;
   };
 }
