--- a/src/core/held-bytes/held-bytes.ts
+++ b/src/core/held-bytes/held-bytes.ts
@@ -1,37 +1,37 @@
 /**
- * How many bytes are held, counted where they are held.
+ * Tracks the number of buffered bytes across all buffers of the process.
  *
- * Whoever holds bytes names a way to measure them, which is used only when someone asks for the
- * sum: nothing is added to the path that the bytes take. The memory of the process says less. It
- * also grows by garbage that the runtime has not collected yet, more of it on a busy machine.
+ * Each buffer registers a callback that returns its size, which runs only when the total is read,
+ * so the data path has no overhead. Process memory is no substitute, since it includes garbage that
+ * has not been collected yet.
  */
 
 export interface HeldBytes {
-  /** Counts what `measure` says until the function returned is called. */
+  /** Includes the result of `measure` in the total until the returned function is called. */
   hold(measure: () => number): () => void;
-  /** Held at this moment, over all holders. */
+  /** Returns the current total over all registered buffers. */
   sum(): number;
 }
 
 /**
- * A count without holders.
+ * Creates a tracker without registered buffers.
  *
  * @example const release = createHeldBytes().hold(() => response.writableLength);
  */
 export function createHeldBytes(): HeldBytes {
-  const holders = new Set<() => number>();
+  const sources = new Set<() => number>();
   return {
     hold: (measure) => {
-      // Two holders may share one way to measure; each is counted.
-      const holder = (): number => measure();
-      holders.add(holder);
+      // The wrapper makes each registration distinct, even if callers share one `measure` function.
+      const source = (): number => measure();
+      sources.add(source);
       return () => {
-        holders.delete(holder);
+        sources.delete(source);
       };
     },
     sum: () => {
       let bytes = 0;
-      for (const measure of holders) bytes += measure();
+      for (const measure of sources) bytes += measure();
       return bytes;
     },
   };
