--- a/src/core/json/json.ts
+++ b/src/core/json/json.ts
@@ -1,9 +1,10 @@
 /**
- * JSON from outside, to be checked by a schema.
+ * Parsing of untrusted JSON.
  */
 
 /**
- * The parsed text, or undefined when it is not JSON: no schema of a message accepts that.
+ * Parses `text`, or returns undefined if it is not valid JSON. Message schemas reject undefined, so
+ * the caller needs no separate check.
  *
  * @example const message = schema.safeParse(parseJson(text));
  */
