--- a/src/core/labels/labels.ts
+++ b/src/core/labels/labels.ts
@@ -3,10 +3,9 @@
  */
 import * as z from 'zod';
 
-/** Labels by key. */
 export const labelsSchema = z.record(z.string().min(1).max(63), z.string().max(63));
 
-/** One requirement on one label. A selector holds when all its requirements hold. */
+/** A requirement on a single label. */
 export const requirementSchema = z.discriminatedUnion('operator', [
   z.object({ key: z.string(), operator: z.literal('in'), values: z.array(z.string()).min(1) }),
   z.object({ key: z.string(), operator: z.literal('notIn'), values: z.array(z.string()).min(1) }),
@@ -14,7 +13,7 @@
   z.object({ key: z.string(), operator: z.literal('missing') }),
 ]);
 
-/** Requirements that all must hold. An empty list matches everything. */
+/** Requirements that must all be met. An empty list matches everything. */
 export const selectorSchema = z.array(requirementSchema).max(32);
 
 export type Labels = z.infer<typeof labelsSchema>;
@@ -22,7 +21,7 @@
 export type Selector = z.infer<typeof selectorSchema>;
 
 /**
- * Whether every requirement of `selector` holds for `labels`.
+ * Returns whether `labels` meet every requirement of `selector`.
  *
  * @example matchesSelector([{ key: 'pool', operator: 'in', values: ['a'] }], { pool: 'a' }) // true
  */
