--- a/src/core/listening/idle-connections.ts
+++ b/src/core/listening/idle-connections.ts
@@ -1,52 +1,51 @@
 /**
- * Which connections of an HTTP server carry nothing.
+ * Tracking of idle connections of an HTTP server.
  *
- * Guards against a stop that cuts an answer. Node's `closeIdleConnections` takes a connection for
- * idle as soon as its answer has been handed over, though a caller on a slow line has only part of
- * it: it shows as an answer that breaks off at the end of the stop. Here an answer counts until the
- * system has taken its last byte, and a request from its first byte.
+ * Prevents a graceful shutdown from truncating responses. Node's `closeIdleConnections` treats a
+ * connection as idle once its response has been written, even if part of it is still buffered. Here
+ * a connection is busy from the first byte of a request until the last byte of its response has been
+ * handed to the operating system.
  */
 import type { Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 
-/** The connections of one server. */
 export interface IdleConnections {
-  /** Closes those on which no request has begun and no answer is under way. */
+  /** Closes connections without a partially received request or a pending response. */
   closeIdle(): void;
 }
 
-/** What a connection that has carried a request does now. */
-interface ConnectionUse {
-  openAnswers: number;
-  /** Bytes read when the last answer had been sent; more of them belong to another request. */
+/** State of a connection that has carried at least one request. */
+interface ConnectionState {
+  pendingResponses: number;
+  /** Value of `socket.bytesRead` after the last response; a higher one means that a new request has begun. */
   bytesRead: number;
 }
 
-/** Follows the connections of `server` from now on; those without any request yet are left alone. */
+/** Starts tracking connections of `server`. Connections without a request yet are not closed. */
 export function trackIdleConnections(server: Server): IdleConnections {
-  const uses = new Map<Socket, ConnectionUse>();
+  const states = new Map<Socket, ConnectionState>();
 
-  const noteRequest = (socket: Socket): ConnectionUse => {
-    const known = uses.get(socket);
-    if (known) return known;
-    const created = { openAnswers: 0, bytesRead: 0 };
-    uses.set(socket, created);
-    socket.once('close', () => uses.delete(socket));
+  const getOrCreateState = (socket: Socket): ConnectionState => {
+    const existing = states.get(socket);
+    if (existing) return existing;
+    const created = { pendingResponses: 0, bytesRead: 0 };
+    states.set(socket, created);
+    socket.once('close', () => states.delete(socket));
     return created;
   };
   server.prependListener('request', ({ socket }, response: ServerResponse) => {
-    const use = noteRequest(socket);
-    use.openAnswers += 1;
+    const state = getOrCreateState(socket);
+    state.pendingResponses += 1;
     response.once('close', () => {
-      use.openAnswers -= 1;
-      use.bytesRead = socket.bytesRead;
+      state.pendingResponses -= 1;
+      state.bytesRead = socket.bytesRead;
     });
   });
 
   return {
     closeIdle: () => {
-      for (const [socket, { openAnswers, bytesRead }] of uses) {
-        if (openAnswers === 0 && socket.bytesRead === bytesRead) socket.destroy();
+      for (const [socket, { pendingResponses, bytesRead }] of states) {
+        if (pendingResponses === 0 && socket.bytesRead === bytesRead) socket.destroy();
       }
     },
   };
--- a/src/core/listening/listening.ts
+++ b/src/core/listening/listening.ts
@@ -1,5 +1,5 @@
 /**
- * Opening and closing the listeners of HTTP servers.
+ * Starting and shutting down HTTP listeners.
  */
 import type { Server } from 'node:http';
 import { Server as SocketServer, type AddressInfo } from 'node:net';
@@ -9,13 +9,12 @@
 import { createFailure, type Failure } from '../errors/index.js';
 import { trackIdleConnections, type IdleConnections } from './idle-connections.js';
 
-/** Where to listen. */
 export interface HostAndPort {
   host: string;
   port: number;
 }
 
-const CONNECTION_SWEEP_MS = 50;
+const CONNECTION_POLL_MS = 50;
 const idleConnections = new WeakMap<Server, IdleConnections>();
 
 /** Splits `host:port`. */
@@ -24,14 +23,14 @@
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
-/** `host:port` of a bound socket. */
+/** Formats the address of a bound socket as `host:port`. */
 export function formatAddress(bound: AddressInfo): string {
   return `${bound.address}:${bound.port}`;
 }
 
 /**
- * Listens on `address`, `host:port` with port 0 for a free one, and resolves with the address as
- * bound. Fails with `unreachable` when it can't be bound, for example because it is taken.
+ * Listens on `address` (`host:port`; port 0 picks a free port) and resolves with the bound address.
+ * Fails with `unreachable` if the address cannot be bound, for example because it is in use.
  *
  * @example const address = await listenOn(createServer(handle), '127.0.0.1:0');
  */
@@ -43,20 +42,20 @@
   idleConnections.set(server, trackIdleConnections(server));
   return new ResultAsync(
     new Promise<Result<string, Failure<'unreachable'>>>((resolve) => {
-      const refuse = (error: Error): void => {
+      const onError = (error: Error): void => {
         const reason = `cannot listen: ${error.message}`;
         resolve(err(createFailure('unreachable', { name: address, reason })));
       };
-      server.once('error', refuse);
+      server.once('error', onError);
       server.listen(port, host, () => {
-        server.off('error', refuse);
+        server.off('error', onError);
         resolve(ok(formatAddress(server.address() as AddressInfo)));
       });
     }),
   );
 }
 
-/** Closes the listener and every connection, also those in use. */
+/** Closes the listener and all connections, including active ones. */
 export function closeServer(server: Server): Promise<void> {
   return new Promise((resolve) => {
     server.close(() => {
@@ -67,17 +66,17 @@
 }
 
 /**
- * Resolves when every answer under way has been sent and no connection is left. Only for a server
- * that listens by {@link listenOn}.
+ * Shuts the server down gracefully: resolves when all pending responses have been sent and all
+ * connections are closed. The server must have been started with {@link listenOn}.
  *
- * A connection closed here as idle may have a request on its way: its caller sees a broken
- * connection for a request in flight. So requests are still answered for `graceMs`, and callers
- * that are told `Connection: close` meanwhile close their connections themselves.
+ * Closing an idle connection can race with a request that is already on the network. For up to
+ * `graceMs`, requests are therefore still served, so that clients that receive `Connection: close`
+ * can close their connections themselves.
  */
 export async function drainServer(server: Server, graceMs: Milliseconds): Promise<void> {
-  const endAt = performance.now() + graceMs;
-  while (performance.now() < endAt && (await countConnections(server)) > 0) {
-    await sleep(CONNECTION_SWEEP_MS);
+  const deadline = performance.now() + graceMs;
+  while (performance.now() < deadline && (await countConnections(server)) > 0) {
+    await sleep(CONNECTION_POLL_MS);
   }
   await closeWhenIdle(server);
 }
@@ -92,12 +91,12 @@
 
 function closeWhenIdle(server: Server): Promise<void> {
   return new Promise((resolve) => {
-    // A connection goes idle when its last answer has been sent, which may be after this moment.
+    // Connections with pending responses become idle later, so idle ones are closed repeatedly.
     const sweep = setInterval(() => {
       idleConnections.get(server)?.closeIdle();
-    }, CONNECTION_SWEEP_MS);
-    // Not the HTTP server's own close: at once it would close connections whose answer has ended
-    // here and is still being sent, and their callers would get a part of it.
+    }, CONNECTION_POLL_MS);
+    // Bypasses http.Server.close(), which also closes connections that it considers idle although
+    // their response is still being sent.
     SocketServer.prototype.close.call(server, () => {
       clearInterval(sweep);
       resolve();
