--- a/src/core/metrics/metrics.ts
+++ b/src/core/metrics/metrics.ts
@@ -1,58 +1,58 @@
 /**
- * What an entry counts and times, in the Prometheus text format.
+ * Metrics of an entry in the Prometheus text format.
  *
- * Every histogram is kept for each workspace and class. The number of label values is bounded:
- * names beyond the bound are counted together as `other`, so that no caller and no stream of
- * configuration changes can fill the memory of the entry or of the metrics store.
+ * Histograms are labeled by workspace and request class. The number of workspace labels is limited:
+ * further workspaces share the label `other`, which bounds the cardinality of the time series.
  */
 import { collectDefaultMetrics, Counter, Gauge, Histogram, Registry } from 'prom-client';
 import type { Milliseconds } from '../clock/index.js';
 import type { ErrorKind } from '../errors/index.js';
 import type { HeldBytes } from '../held-bytes/index.js';
 
-/** The histograms of one workspace and class. All take milliseconds and export seconds. */
+/** Histograms of one workspace and request class. Observed in milliseconds, exported in seconds. */
 export interface RequestTimings {
-  /** From arrival until it was sent on. */
+  /** From arrival until the request is forwarded. */
   queue(span: Milliseconds): void;
   /** From arrival to the first token. */
   firstToken(span: Milliseconds): void;
   betweenTokens(span: Milliseconds): void;
-  /** From arrival to the end of the answer. */
+  /** From arrival to the end of the response. */
   whole(span: Milliseconds): void;
 }
 
-/** What the parts of an entry report to. */
+/** Recorder of the metrics of an entry. */
 export interface Metrics {
-  /** Timings of one workspace and class; cheap to ask for with each request. */
+  /** Returns the cached histograms of a workspace and request class. */
   timingsOf(workspace: string, requestClass: string): RequestTimings;
-  /** A request ended in a failure of the closed list. */
+  /** Counts a request that ended in a failure of this kind. */
   countError(kind: ErrorKind): void;
-  /** An attempt was made beyond a request's first. */
+  /** Counts an attempt other than the first of its request. */
   countRetry(): void;
   setInFlight(requests: number): void;
-  /** For metrics of other parts. */
+  /** Registry to which other components add their own metrics. */
   registry: Registry;
-  /** The text exposition. */
+  /** Renders all metrics in the Prometheus text exposition format. */
   render(): Promise<string>;
 }
 
-/** Workspaces with histograms of their own. */
+/** Maximum number of workspaces with their own label value. */
 export const MAX_WORKSPACE_LABELS = 64;
-const OTHER = 'other';
+const OTHER_WORKSPACES = 'other';
 const MS_PER_SECOND = 1_000;
 
-const WAIT_BUCKETS = [0.002, 0.01, 0.05, 0.1, 0.25, 0.5, 1, 1.3, 2, 5, 10, 30];
-const BETWEEN_BUCKETS = [0.005, 0.01, 0.015, 0.02, 0.024, 0.028, 0.035, 0.05, 0.1, 0.25, 1];
-const WHOLE_BUCKETS = [0.01, 0.05, 0.1, 0.5, 1, 2, 5, 10, 30, 60, 300];
+const LATENCY_BUCKETS = [0.002, 0.01, 0.05, 0.1, 0.25, 0.5, 1, 1.3, 2, 5, 10, 30];
+const INTER_TOKEN_BUCKETS = [0.005, 0.01, 0.015, 0.02, 0.024, 0.028, 0.035, 0.05, 0.1, 0.25, 1];
+const TOTAL_DURATION_BUCKETS = [0.01, 0.05, 0.1, 0.5, 1, 2, 5, 10, 30, 60, 300];
 
 type Labels = 'workspace' | 'class';
 
 /**
- * Metrics of one entry, in a registry of their own; with a gauge of `unread` where it is counted.
+ * Creates the metrics of an entry in a new registry. If `unreadBytes` is given, its total is exported
+ * as a gauge.
  *
  * @example createMetrics().timingsOf('market-east', 'gate').whole(480);
  */
-export function createMetrics(unread?: HeldBytes): Metrics {
+export function createMetrics(unreadBytes?: HeldBytes): Metrics {
   const registry = new Registry();
   collectDefaultMetrics({ register: registry });
   const histograms = createHistograms(registry);
@@ -72,15 +72,15 @@
     help: 'Requests accepted and not answered yet.',
     registers: [registry],
   });
-  if (unread) registerUnread(registry, unread);
+  if (unreadBytes) registerUnreadBytes(registry, unreadBytes);
   const timings = new Map<string, RequestTimings>();
   const workspaces = new Set<string>();
   return {
     timingsOf: (workspace, requestClass) => {
-      const label = boundLabel(workspaces, workspace);
+      const label = limitWorkspaceLabel(workspaces, workspace);
       const key = `${label} ${requestClass}`;
-      const known = timings.get(key);
-      if (known) return known;
+      const existing = timings.get(key);
+      if (existing) return existing;
       const created = bindTimings(histograms, label, requestClass);
       timings.set(key, created);
       return created;
@@ -99,21 +99,21 @@
   };
 }
 
-function registerUnread(registry: Registry, unread: HeldBytes): void {
+function registerUnreadBytes(registry: Registry, unreadBytes: HeldBytes): void {
   new Gauge({
     name: 'yuccasail_unread_answer_bytes',
     help: 'Bytes of streams and downloads that wait in the entry until their callers read on.',
     registers: [registry],
     collect() {
-      this.set(unread.sum());
+      this.set(unreadBytes.sum());
     },
   });
 }
 
-function boundLabel(known: Set<string>, workspace: string): string {
-  if (known.has(workspace)) return workspace;
-  if (known.size >= MAX_WORKSPACE_LABELS) return OTHER;
-  known.add(workspace);
+function limitWorkspaceLabel(knownWorkspaces: Set<string>, workspace: string): string {
+  if (knownWorkspaces.has(workspace)) return workspace;
+  if (knownWorkspaces.size >= MAX_WORKSPACE_LABELS) return OTHER_WORKSPACES;
+  knownWorkspaces.add(workspace);
   return workspace;
 }
 
@@ -129,10 +129,14 @@
       registers: [registry],
     });
   return {
-    queue: create('queue', 'From arrival until the request was sent on.', WAIT_BUCKETS),
-    firstToken: create('first_token', 'From arrival to the first token.', WAIT_BUCKETS),
-    betweenTokens: create('between_tokens', 'Between two tokens of an answer.', BETWEEN_BUCKETS),
-    whole: create('whole', 'From arrival to the end of the answer.', WHOLE_BUCKETS),
+    queue: create('queue', 'From arrival until the request was sent on.', LATENCY_BUCKETS),
+    firstToken: create('first_token', 'From arrival to the first token.', LATENCY_BUCKETS),
+    betweenTokens: create(
+      'between_tokens',
+      'Between two tokens of an answer.',
+      INTER_TOKEN_BUCKETS,
+    ),
+    whole: create('whole', 'From arrival to the end of the answer.', TOTAL_DURATION_BUCKETS),
   };
 }
 
