--- a/src/core/random/random.ts
+++ b/src/core/random/random.ts
@@ -1,21 +1,21 @@
 /**
- * Seeded random numbers, so that a decision can be replayed exactly from its seed.
+ * Seeded random numbers, which make decisions reproducible.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** A source of random numbers. Each call moves it on. */
+/** A stateful source of random numbers. */
 export interface Random {
-  /** A number in [0, 1). */
+  /** Returns a number in [0, 1). */
   fraction(): number;
-  /** A whole number in [0, bound). `bound` is 1 or more. */
+  /** Returns an integer in [0, bound). `bound` must be at least 1. */
   below(bound: number): number;
 }
 
 const FRACTION_STEPS = 2 ** 30;
 
 /**
- * A random source with a fixed sequence for each seed.
+ * Creates a random source whose sequence is determined by `seed`.
  *
  * @example const random = createRandom(42); const index = random.below(candidates.length);
  */
