--- a/src/core/settings/combinations.ts
+++ b/src/core/settings/combinations.ts
@@ -1,58 +1,58 @@
 /**
- * Combinations of settings that are each valid alone and cannot work together.
+ * Checks across settings that are valid individually but incompatible with each other.
  */
 import type { EntrySettings } from './entry-settings.js';
 import type { SettingsFault } from './issues.js';
 
-const ORDERS_PER_LEASE = 2;
-const DIGESTS_BEFORE_FORGOTTEN = 3;
+const MIN_ORDERS_PER_LEASE = 2;
+const MIN_DIGESTS_BEFORE_FORGOTTEN = 3;
 const MAX_PORT = 65_535;
-const IP_NUMBER = /^(\d{1,3}\.){3}\d{1,3}$/;
+const IPV4_PATTERN = /^(\d{1,3}\.){3}\d{1,3}$/;
 
 interface Rule {
   key: string;
   value: (settings: EntrySettings) => number;
-  /** The least value that can work. */
-  least: (settings: EntrySettings) => number;
-  why: string;
+  /** Smallest valid value given the other settings. */
+  minimum: (settings: EntrySettings) => number;
+  reason: string;
 }
 
 const RULES: readonly Rule[] = [
   {
     key: 'replicas.leaseMs',
     value: ({ replicas }) => replicas.leaseMs,
-    least: ({ replicas, platform }) =>
-      ORDERS_PER_LEASE * replicas.orderTimeoutMs + replicas.planEveryMs + platform.timeoutMs,
-    why: 'an owner must be able to renew its lease and to end an order before the lease lapses',
+    minimum: ({ replicas, platform }) =>
+      MIN_ORDERS_PER_LEASE * replicas.orderTimeoutMs + replicas.planEveryMs + platform.timeoutMs,
+    reason: 'an owner must be able to renew its lease and to end an order before the lease lapses',
   },
   {
     key: 'health.freshMs',
     value: ({ health }) => health.freshMs,
-    least: ({ health }) => health.probeEveryMs + health.probeTimeoutMs,
-    why: 'between two good reports a healthy replica must not count as unheard',
+    minimum: ({ health }) => health.probeEveryMs + health.probeTimeoutMs,
+    reason: 'between two good reports a healthy replica must not count as unheard',
   },
   {
     key: 'membership.forgetMs',
     value: ({ membership }) => membership.forgetMs,
-    least: ({ membership }) => DIGESTS_BEFORE_FORGOTTEN * membership.digestEveryMs,
-    why: 'an entry must not be forgotten between two of its digests',
+    minimum: ({ membership }) => MIN_DIGESTS_BEFORE_FORGOTTEN * membership.digestEveryMs,
+    reason: 'an entry must not be forgotten between two of its digests',
   },
 ];
 
 /**
- * The faults of `settings` that no single value shows.
+ * Returns the faults of `settings` that the schema cannot detect because they involve several values.
  *
  * @example findImpossibleCombinations(settings).length === 0
  */
-export function findImpossibleCombinations(settings: EntrySettings): SettingsFault[] {
+export function findIncompatibleSettings(settings: EntrySettings): SettingsFault[] {
   return [...checkRules(settings), ...checkAddresses(settings), ...checkListeners(settings)];
 }
 
 function checkRules(settings: EntrySettings): SettingsFault[] {
-  return RULES.filter((rule) => rule.value(settings) < rule.least(settings)).map((rule) => ({
+  return RULES.filter((rule) => rule.value(settings) < rule.minimum(settings)).map((rule) => ({
     key: rule.key,
     value: String(rule.value(settings)),
-    fix: `must be at least ${rule.least(settings)} with the other settings: ${rule.why}`,
+    fix: `must be at least ${rule.minimum(settings)} with the other settings: ${rule.reason}`,
   }));
 }
 
@@ -83,16 +83,16 @@
 
 function isUsableAddress(address: string): boolean {
   const [host = '', port = ''] = address.split(':');
-  return IP_NUMBER.test(host) && Number(port) <= MAX_PORT;
+  return IPV4_PATTERN.test(host) && Number(port) <= MAX_PORT;
 }
 
 function checkListeners({ listen }: EntrySettings): SettingsFault[] {
   const seen = new Map<string, string>();
   const faults: SettingsFault[] = [];
   for (const [name, address] of Object.entries(listen)) {
-    const other = seen.get(address);
-    if (other !== undefined && !address.endsWith(':0')) {
-      const fix = `must differ from listen.${other}: one port serves one purpose`;
+    const existingName = seen.get(address);
+    if (existingName !== undefined && !address.endsWith(':0')) {
+      const fix = `must differ from listen.${existingName}: one port serves one purpose`;
       faults.push({ key: `listen.${name}`, value: JSON.stringify(address), fix });
     }
     seen.set(address, name);
--- a/src/core/settings/entry-settings.ts
+++ b/src/core/settings/entry-settings.ts
@@ -1,5 +1,5 @@
 /**
- * The settings of an entry: schema, defaults and documentation in one place.
+ * Schema, defaults and descriptions of the settings of an entry.
  */
 import * as z from 'zod';
 import { nameSchema } from '../../objects/index.js';
--- a/src/core/settings/issues.ts
+++ b/src/core/settings/issues.ts
@@ -1,22 +1,22 @@
 /**
- * From the issues that a schema finds to key, value and fix, as an operator reads them.
+ * Conversion of schema validation issues to messages for operators.
  */
 import type * as z from 'zod';
 
-/** One fault of a settings or object file. */
+/** A validation error in a settings or object file. */
 export interface SettingsFault {
   /** Dotted path of the key. */
   key: string;
-  /** The value as found, shortened. */
+  /** The invalid value as JSON, truncated. */
   value: string;
-  /** What to write instead. */
+  /** How to correct the value. */
   fix: string;
 }
 
-const MAX_SHOWN_VALUE = 60;
+const MAX_DISPLAYED_VALUE_LENGTH = 60;
 const MILLISECONDS_EXAMPLE = 'a whole number of milliseconds without quotes, for example 2000';
 
-/** The faults that `error` stands for. `input` is the value that the schema was given. */
+/** Converts the issues of `error` to faults. `input` is the value that was validated. */
 export function describeIssues(error: z.ZodError, input: unknown): SettingsFault[] {
   return error.issues.flatMap((issue) => describeIssue(issue, input));
 }
@@ -25,7 +25,7 @@
   if (issue.code === 'unrecognized_keys') {
     return issue.keys.map((key) => describeUnknownKey(key, issue.path, input));
   }
-  const value = valueAt(input, issue.path);
+  const value = getValueAtPath(input, issue.path);
   const key = formatPath(issue.path);
   if (value === undefined) return [{ key, value: '(missing)', fix: describeMissing(issue) }];
   return [{ key, value: formatValue(value), fix: describeFix(key, issue) }];
@@ -43,12 +43,12 @@
 function describeUnknownKey(key: string, path: PropertyKey[], input: unknown): SettingsFault {
   return {
     key: formatPath([...path, key]),
-    value: formatValue(valueAt(input, [...path, key])),
+    value: formatValue(getValueAtPath(input, [...path, key])),
     fix: 'there is no such key; docs/settings.md lists the keys and their units',
   };
 }
 
-function valueAt(input: unknown, path: readonly PropertyKey[]): unknown {
+function getValueAtPath(input: unknown, path: readonly PropertyKey[]): unknown {
   let value: unknown = input;
   for (const step of path) {
     if (typeof value !== 'object' || value === null || !Object.hasOwn(value, step)) {
@@ -66,5 +66,7 @@
 function formatValue(value: unknown): string {
   const text = JSON.stringify(value) as string | undefined;
   if (text === undefined) return '(missing)';
-  return text.length > MAX_SHOWN_VALUE ? `${text.slice(0, MAX_SHOWN_VALUE)}…` : text;
+  return text.length > MAX_DISPLAYED_VALUE_LENGTH
+    ? `${text.slice(0, MAX_DISPLAYED_VALUE_LENGTH)}…`
+    : text;
 }
--- a/src/core/settings/load.ts
+++ b/src/core/settings/load.ts
@@ -1,20 +1,20 @@
 /**
- * Loading of an entry's settings: all of the file is valid, or nothing starts.
+ * Loading and validation of the settings file of an entry.
  */
 import { readFile } from 'node:fs/promises';
 import { err, ok, ResultAsync, type Result } from 'neverthrow';
 import type * as z from 'zod';
 import { createFailure, type Failure } from '../errors/index.js';
-import { findImpossibleCombinations } from './combinations.js';
+import { findIncompatibleSettings } from './combinations.js';
 import { entrySettingsSchema, type EntrySettings } from './entry-settings.js';
 import { describeIssues, type SettingsFault } from './issues.js';
 import { parseToml } from './toml.js';
 
-/** Every fault found in one file, at least one. */
+/** All faults found in a file; never empty. */
 export type SettingsFailures = readonly Failure<'settingsInvalid'>[];
 
 /**
- * The settings in `file`, or every fault found in it.
+ * Loads the settings from `file`, or returns all faults found in it.
  *
  * @example
  * const settings = await loadEntrySettings('entry.toml');
@@ -24,7 +24,6 @@
   return readSettingsFile(file).andThen((text) => parseEntrySettings(file, text));
 }
 
-/** The text of `file`. */
 export function readSettingsFile(file: string): ResultAsync<string, SettingsFailures> {
   return ResultAsync.fromPromise(readFile(file, 'utf8'), (error) => [
     createFailure('settingsInvalid', {
@@ -36,7 +35,7 @@
   ]);
 }
 
-/** The settings in `text`; `file` only names it in failures. */
+/** Parses and validates the settings in `text`. `file` is used in failure messages only. */
 export function parseEntrySettings(
   file: string,
   text: string,
@@ -44,12 +43,12 @@
   return parseTomlFile(file, text)
     .andThen((table) => checkTable(file, table, entrySettingsSchema))
     .andThen((settings) => {
-      const faults = findImpossibleCombinations(settings);
+      const faults = findIncompatibleSettings(settings);
       return faults.length > 0 ? err(toFailures(file, faults)) : ok(settings);
     });
 }
 
-/** The table in `text`, yet to be checked; `file` only names it in failures. */
+/** Parses `text` without validating it. `file` is used in failure messages only. */
 export function parseTomlFile(
   file: string,
   text: string,
@@ -59,7 +58,7 @@
   );
 }
 
-/** `table` as `schema` has it, or every fault found in it. */
+/** Validates `table` against `schema` and returns the parsed value, or all faults found. */
 export function checkTable<Value>(
   file: string,
   table: Record<string, unknown>,
@@ -70,7 +69,7 @@
   return err(toFailures(file, describeIssues(value.error, table)));
 }
 
-/** `faults` of `file` as failures. */
+/** Converts `faults` found in `file` to failures. */
 export function toFailures(file: string, faults: readonly SettingsFault[]): SettingsFailures {
   return faults.map((fault) => createFailure('settingsInvalid', { file, ...fault }));
 }
--- a/src/core/settings/toml.ts
+++ b/src/core/settings/toml.ts
@@ -1,10 +1,10 @@
 /**
- * Reading of TOML text, with errors that name the line.
+ * TOML parsing with errors that name the line.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { parse, TomlError } from 'smol-toml';
 
-/** Where TOML text is not valid. `line` counts from 1. */
+/** A TOML syntax error. `line` is 1-based. */
 export interface TomlFault {
   line: number;
   text: string;
@@ -12,7 +12,7 @@
 }
 
 /**
- * Parses `text`; the value is yet to be checked against a schema.
+ * Parses `text`. The result is not validated against a schema.
  *
  * @example parseToml('name = "entry-1"').map((table) => table.name)
  */
