--- a/src/core/sockets/hard-reset.ts
+++ b/src/core/sockets/hard-reset.ts
@@ -1,12 +1,14 @@
 /**
- * A reset that the other side sees as one.
+ * Closing of TCP connections with a reset.
  */
 import type { Socket } from 'node:net';
 
 /**
- * Resets at once. Node's own `resetAndDestroy` ends the sending half first, and the other side takes
- * that for the regular end of an answer without a length. The flag that it sets before makes the
- * closing of the socket a reset; without the flag it would be a regular close.
+ * Closes the connection with a TCP reset (RST), without sending a FIN first.
+ *
+ * Node's `resetAndDestroy` ends the writable side first, which the peer takes for the regular end of
+ * a response without a content length. Setting its internal flag directly makes `destroy` send a
+ * reset instead of a regular close.
  */
 export function hardReset(socket: Socket | null): void {
   if (!socket) return;
