--- a/src/core/timeout/timeout.ts
+++ b/src/core/timeout/timeout.ts
@@ -1,41 +1,41 @@
 /**
- * Bounding the time of a call, whatever the library below does with its own timeouts.
+ * Timeouts for asynchronous calls, independent of those of the underlying library.
  */
 import type { Milliseconds } from '../clock/index.js';
 
 /**
- * Settles as `call` does, or rejects with `TimeoutError` after `ms`. `call` gets a signal that ends
- * it then.
+ * Settles like `call`, or rejects with a `TimeoutError` after `ms` or when `parentSignal` aborts. The
+ * signal passed to `call` is aborted at the same time.
  *
- * Guards against calls that wait for a connection: undici notices an aborted signal only once the
- * connection is made, so that calls to a silent address would take its connect timeout of seconds.
+ * Rejects without waiting for `call`, because undici handles an aborted signal only once connected:
+ * a call to an unresponsive address would otherwise last until the connect timeout.
  */
 export async function callWithin<Value>(
   ms: Milliseconds,
   call: (signal: AbortSignal) => Promise<Value>,
-  outer?: AbortSignal,
+  parentSignal?: AbortSignal,
 ): Promise<Value> {
   const timeout = new AbortController();
-  const signal = outer ? AbortSignal.any([outer, timeout.signal]) : timeout.signal;
-  let stopWaiting = (): void => undefined;
+  const signal = parentSignal ? AbortSignal.any([parentSignal, timeout.signal]) : timeout.signal;
+  let cleanUp = (): void => undefined;
   const expiry = new Promise<never>((_, reject) => {
-    const end = (): void => {
+    const rejectWithTimeout = (): void => {
       reject(new DOMException('no answer in time', 'TimeoutError'));
     };
     const timer = setTimeout(() => {
       timeout.abort();
-      end();
+      rejectWithTimeout();
     }, ms);
-    outer?.addEventListener('abort', end, { once: true });
-    stopWaiting = () => {
+    parentSignal?.addEventListener('abort', rejectWithTimeout, { once: true });
+    cleanUp = () => {
       clearTimeout(timer);
-      // A signal may outlive many calls, which would otherwise all stay with it.
-      outer?.removeEventListener('abort', end);
+      // The parent signal may outlive many calls, whose listeners would otherwise accumulate.
+      parentSignal?.removeEventListener('abort', rejectWithTimeout);
     };
   });
   try {
     return await Promise.race([call(signal), expiry]);
   } finally {
-    stopWaiting();
+    cleanUp();
   }
 }
