--- a/src/core/errors/catalogue.ts
+++ b/src/core/errors/catalogue.ts
@@ -1,44 +1,48 @@
 /**
- * The closed list of error kinds and, for each, what the one who meets it is told.
- *
- * `conclusion` is what a caller may conclude of the request: `notRun` (no byte of it can have
- * reached a backend server), `unknown` (it may have run), `failed` (it ran and failed), `refused`
- * (not run, and asking again unchanged will not help). `status` is the HTTP status of the answer.
+ * Catalogue of all error kinds with their HTTP status and their messages.
  */
 
-/** What may be concluded of a request that met an error. */
+/**
+ * What a caller may conclude about a request that ended in an error:
+ *
+ * - `notRun`: no byte of it can have reached a backend server.
+ * - `unknown`: it may have run.
+ * - `failed`: it ran and failed.
+ * - `refused`: it was not run, and an unchanged retry will not succeed.
+ */
 export type Conclusion = 'notRun' | 'unknown' | 'failed' | 'refused';
 
-interface ErrorEntry<Values> {
+interface ErrorDefinition<Values> {
   title: string;
+  /** HTTP status of the response. */
   status: number;
   conclusion: Conclusion;
   message: (values: Values) => string;
-  /** What the reader should do next. */
+  /** Suggested next step for the recipient. */
   hint: string;
 }
 
-function entry<Values>(definition: ErrorEntry<Values>): ErrorEntry<Values> {
+function defineError<Values>(definition: ErrorDefinition<Values>): ErrorDefinition<Values> {
   return definition;
 }
 
-interface Reason {
+interface ReasonValues {
   reason: string;
 }
-interface Name {
+interface NameValues {
   name: string;
 }
 
 export const ERRORS = {
-  // What callers meet before anything is sent on.
-  workspaceUnknown: entry({
+  // Returned to callers before the request is forwarded.
+  workspaceUnknown: defineError({
     title: 'Unknown workspace',
     status: 401,
     conclusion: 'refused',
     message: () => 'No workspace matches the credentials of this request.',
     hint: 'Send the API key of your workspace as "Authorization: Bearer <key>".',
   }),
-  notAllowed: entry({
+  notAllowed: defineError({
     title: 'Not allowed',
     status: 403,
     conclusion: 'refused',
@@ -46,35 +50,35 @@
       `Workspace "${name}" may not use ${what}.`,
     hint: "Ask an operator to extend the workspace's selector or classes.",
   }),
-  modelUnknown: entry({
+  modelUnknown: defineError({
     title: 'Unknown model',
     status: 404,
     conclusion: 'refused',
-    message: ({ name }: Name) => `There is no model "${name}".`,
+    message: ({ name }: NameValues) => `There is no model "${name}".`,
     hint: 'GET /v1/models lists the models that your workspace may use.',
   }),
-  serviceUnknown: entry({
+  serviceUnknown: defineError({
     title: 'Unknown service',
     status: 404,
     conclusion: 'refused',
-    message: ({ name }: Name) => `There is no service "${name}".`,
+    message: ({ name }: NameValues) => `There is no service "${name}".`,
     hint: 'Check the name after /services/ in the path.',
   }),
-  routeUnknown: entry({
+  routeUnknown: defineError({
     title: 'Unknown route',
     status: 404,
     conclusion: 'refused',
-    message: ({ name }: Name) => `Nothing answers at ${name}.`,
+    message: ({ name }: NameValues) => `Nothing answers at ${name}.`,
     hint: 'Use /v1/chat/completions, /v1/models or /services/<name>/<path>.',
   }),
-  invalidRequest: entry({
+  invalidRequest: defineError({
     title: 'Invalid request',
     status: 400,
     conclusion: 'refused',
-    message: ({ reason }: Reason) => `The request is not valid: ${reason}.`,
+    message: ({ reason }: ReasonValues) => `The request is not valid: ${reason}.`,
     hint: 'Correct the request and send it again.',
   }),
-  bodyTooLarge: entry({
+  bodyTooLarge: defineError({
     title: 'Body too large',
     status: 413,
     conclusion: 'refused',
@@ -82,7 +86,7 @@
       `The body is larger than ${limitBytes} bytes.`,
     hint: 'Send a smaller body.',
   }),
-  senderTooSlow: entry({
+  senderTooSlow: defineError({
     title: 'Request timeout',
     status: 408,
     conclusion: 'notRun',
@@ -90,7 +94,7 @@
       `The request did not arrive whole within ${limitMs} ms.`,
     hint: 'Send it again over a better connection.',
   }),
-  limitExceeded: entry({
+  limitExceeded: defineError({
     title: 'Limit exceeded',
     status: 429,
     conclusion: 'notRun',
@@ -98,114 +102,114 @@
       `Workspace "${name}" is over its limit of ${what}.`,
     hint: 'Send it again after the time in Retry-After.',
   }),
-  overloaded: entry({
+  overloaded: defineError({
     title: 'Overloaded',
     status: 503,
     conclusion: 'notRun',
-    message: ({ reason }: Reason) => `The request was not run: ${reason}.`,
+    message: ({ reason }: ReasonValues) => `The request was not run: ${reason}.`,
     hint: 'Send it again after the time in Retry-After.',
   }),
-  noCapacity: entry({
+  noCapacity: defineError({
     title: 'No capacity',
     status: 503,
     conclusion: 'notRun',
-    message: ({ name }: Name) => `Nothing is in service for "${name}" at the moment.`,
+    message: ({ name }: NameValues) => `Nothing is in service for "${name}" at the moment.`,
     hint: 'Send it again after the time in Retry-After.',
   }),
-  stopping: entry({
+  stopping: defineError({
     title: 'Stopping',
     status: 503,
     conclusion: 'notRun',
     message: () => 'This entry is stopping and takes no new requests.',
     hint: 'Send it again: the balancer will choose another entry.',
   }),
-  notReady: entry({
+  notReady: defineError({
     title: 'Not ready',
     status: 503,
     conclusion: 'notRun',
-    message: ({ reason }: Reason) => `This entry is not ready: ${reason}.`,
+    message: ({ reason }: ReasonValues) => `This entry is not ready: ${reason}.`,
     hint: 'Send it again after the time in Retry-After.',
   }),
-  quarantined: entry({
+  quarantined: defineError({
     title: 'Request quarantined',
     status: 503,
     conclusion: 'notRun',
     message: () => 'The request was not run: backend servers ended while they ran it before.',
     hint: 'Report it to the operators; the same request is refused until the time in Retry-After.',
   }),
-  deadlineBeforeStart: entry({
+  deadlineBeforeStart: defineError({
     title: 'Deadline passed',
     status: 504,
     conclusion: 'notRun',
     message: () => 'The deadline passed before the request was sent on; it was not run.',
     hint: 'Send it again with a later deadline.',
   }),
-  // What callers meet once something may have been sent on.
-  outcomeUnknown: entry({
+  // Returned to callers after the request may have been forwarded.
+  outcomeUnknown: defineError({
     title: 'Outcome unknown',
     status: 502,
     conclusion: 'unknown',
-    message: ({ reason }: Reason) => `The request may have run: ${reason}.`,
+    message: ({ reason }: ReasonValues) => `The request may have run: ${reason}.`,
     hint: 'Find out whether it took effect before you send it again.',
   }),
-  deadlineAfterStart: entry({
+  deadlineAfterStart: defineError({
     title: 'Deadline passed',
     status: 504,
     conclusion: 'unknown',
     message: () => 'The deadline passed while the request may have been running.',
     hint: 'Find out whether it took effect before you send it again.',
   }),
-  runFailed: entry({
+  runFailed: defineError({
     title: 'Run failed',
     status: 502,
     conclusion: 'failed',
-    message: ({ reason }: Reason) => `The request ran and failed: ${reason}.`,
+    message: ({ reason }: ReasonValues) => `The request ran and failed: ${reason}.`,
     hint: 'Send it again if it may be repeated.',
   }),
-  answerCut: entry({
+  answerCut: defineError({
     title: 'Answer cut',
     status: 502,
     conclusion: 'failed',
-    message: ({ reason }: Reason) => `The answer is not whole: ${reason}.`,
+    message: ({ reason }: ReasonValues) => `The answer is not whole: ${reason}.`,
     hint: 'Discard what arrived and send the request again.',
   }),
-  callerGone: entry({
+  callerGone: defineError({
     title: 'Caller gone',
     status: 499,
     conclusion: 'unknown',
     message: () => 'The caller closed the connection before the answer was whole.',
     hint: 'Nothing to do: the attempt was cancelled.',
   }),
-  // Calls that may run only once.
-  keyRequired: entry({
+  // Non-idempotent service calls that require an Idempotency-Key.
+  keyRequired: defineError({
     title: 'Idempotency-Key required',
     status: 400,
     conclusion: 'refused',
-    message: ({ name }: Name) => `Calls to "${name}" need an Idempotency-Key.`,
+    message: ({ name }: NameValues) => `Calls to "${name}" need an Idempotency-Key.`,
     hint: 'Send a fresh key with each new call, and the same key when you repeat it.',
   }),
-  keyReused: entry({
+  keyReused: defineError({
     title: 'Idempotency-Key reused',
     status: 422,
     conclusion: 'refused',
     message: () => 'This Idempotency-Key was used for a different request.',
     hint: 'Send a fresh key with each new call.',
   }),
-  keyExpired: entry({
+  keyExpired: defineError({
     title: 'Idempotency-Key expired',
     status: 422,
     conclusion: 'refused',
     message: () => 'This Idempotency-Key is older than the retention of call records.',
     hint: 'Find out whether the call took effect, then send a fresh key.',
   }),
-  callInProgress: entry({
+  callInProgress: defineError({
     title: 'Call in progress',
     status: 409,
     conclusion: 'unknown',
     message: () => 'A call with this Idempotency-Key is in progress.',
     hint: 'Ask again with the same key after the time in Retry-After.',
   }),
-  answerNotKept: entry({
+  answerNotKept: defineError({
     title: 'Answer not kept',
     status: 410,
     conclusion: 'unknown',
@@ -213,30 +217,30 @@
       `The call ran and was answered with status ${status}; the answer was too large to keep.`,
     hint: 'The call took effect if that status says so; do not send it again under a fresh key.',
   }),
-  recordUnavailable: entry({
+  recordUnavailable: defineError({
     title: 'Record unavailable',
     status: 503,
     conclusion: 'notRun',
-    message: ({ reason }: Reason) =>
+    message: ({ reason }: ReasonValues) =>
       `This request was not run, its call record could not be made: ${reason}.`,
     hint: 'Send it again with the same key after the time in Retry-After. What became of earlier requests with this key is not known here.',
   }),
-  // What operators meet.
-  objectInvalid: entry({
+  // Returned to operators.
+  objectInvalid: defineError({
     title: 'Invalid object',
     status: 422,
     conclusion: 'refused',
     message: ({ name, reason }: { name: string; reason: string }) => `${name}: ${reason}`,
     hint: 'Correct the value that the message names and apply it again.',
   }),
-  objectUnknown: entry({
+  objectUnknown: defineError({
     title: 'Unknown object',
     status: 404,
     conclusion: 'refused',
-    message: ({ name }: Name) => `There is no object "${name}".`,
+    message: ({ name }: NameValues) => `There is no object "${name}".`,
     hint: '"yuccasail get <kind>" lists the objects.',
   }),
-  versionConflict: entry({
+  versionConflict: defineError({
     title: 'Version conflict',
     status: 409,
     conclusion: 'refused',
@@ -244,7 +248,7 @@
       `"${name}" was changed by someone else; version ${won} won.`,
     hint: 'Read the object again, make your change to that version and apply it.',
   }),
-  settingsInvalid: entry({
+  settingsInvalid: defineError({
     title: 'Invalid settings',
     status: 422,
     conclusion: 'refused',
@@ -261,22 +265,22 @@
     }) => `${file}: ${key} = ${value}: ${fix}`,
     hint: 'Correct the key in the file and start again.',
   }),
-  // Between the system's processes and its surroundings.
-  platformUnavailable: entry({
+  // Communication with the platform, engines and other processes.
+  platformUnavailable: defineError({
     title: 'Platform unavailable',
     status: 503,
     conclusion: 'notRun',
-    message: ({ reason }: Reason) => `The platform did not take the call: ${reason}.`,
+    message: ({ reason }: ReasonValues) => `The platform did not take the call: ${reason}.`,
     hint: 'Try again after the time in Retry-After.',
   }),
-  platformOutcomeUnknown: entry({
+  platformOutcomeUnknown: defineError({
     title: 'Platform outcome unknown',
     status: 503,
     conclusion: 'unknown',
-    message: ({ reason }: Reason) => `The platform's answer was lost: ${reason}.`,
+    message: ({ reason }: ReasonValues) => `The platform's answer was lost: ${reason}.`,
     hint: 'Read the object again and look for your nonce.',
   }),
-  messageInvalid: entry({
+  messageInvalid: defineError({
     title: 'Invalid message',
     status: 502,
     conclusion: 'unknown',
@@ -284,7 +288,7 @@
       `The message from ${from} is not valid: ${reason}.`,
     hint: 'Check that both sides run compatible versions.',
   }),
-  orderRefused: entry({
+  orderRefused: defineError({
     title: 'Order refused',
     status: 409,
     conclusion: 'refused',
@@ -292,7 +296,7 @@
       `Engine "${name}" refused the order: ${reason}.`,
     hint: 'The plan is read again before the next order.',
   }),
-  unreachable: entry({
+  unreachable: defineError({
     title: 'Unreachable',
     status: 503,
     conclusion: 'unknown',
@@ -302,5 +306,4 @@
   }),
 } as const;
 
-/** One of the closed list of error kinds. */
 export type ErrorKind = keyof typeof ERRORS;
--- a/src/core/errors/failure.ts
+++ b/src/core/errors/failure.ts
@@ -1,5 +1,5 @@
 /**
- * Errors as values: a kind of the closed list, its values, and when to come back.
+ * Errors as values.
  */
 import type { Milliseconds } from '../clock/index.js';
 import { ERRORS, type Conclusion, type ErrorKind } from './catalogue.js';
@@ -11,16 +11,16 @@
       : Values
     : undefined;
 
-/** An error that happened. */
+/** An error of a kind from the catalogue. */
 export interface Failure<Kind extends ErrorKind = ErrorKind> {
   kind: Kind;
   message: string;
-  /** How long to wait before asking again; absent when that is not known or will not help. */
+  /** Delay before a retry; absent if it is unknown or a retry will not help. */
   retryAfterMs?: Milliseconds;
 }
 
 /**
- * A failure of one kind.
+ * Creates a failure of the given kind.
  *
  * @example const failure = createFailure('modelUnknown', { name: 'pass-assistant' });
  */
@@ -36,7 +36,7 @@
   return retryAfterMs === undefined ? failure : { ...failure, retryAfterMs };
 }
 
-/** What a caller may conclude from `failure`. */
+/** Returns what a caller may conclude about the request that ended in `failure`. */
 export function concludeFailure(failure: Failure): Conclusion {
   return ERRORS[failure.kind].conclusion;
 }
