--- a/src/core/logger/bounded-logger.ts
+++ b/src/core/logger/bounded-logger.ts
@@ -1,5 +1,5 @@
 /**
- * Logging to standard output that stays within a budget and never waits for a reader.
+ * Rate-limited, non-blocking logging to standard output.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { createLogger as createWinston, format, transports } from 'winston';
@@ -8,43 +8,43 @@
 import type { Logger } from './logger.js';
 
 interface BoundedLoggerOptions {
-  /** Names the process in every line. */
+  /** Name of the process, included in every line. */
   source: string;
   level: LogEvent['level'];
   clock: Clock;
-  /** Called with the number of lines that were left out. */
+  /** Called with the number of suppressed lines. */
   onSuppressed: (lines: number) => void;
 }
 
-/** A logger whose last lines can be waited for. */
+/** A logger that can be flushed before the process exits. */
 export interface BoundedLogger extends Logger {
-  /** Tells what was left out, and resolves when all lines are with the reader, or after `ms`. */
+  /** Logs the suppressed counts, then resolves when all output has been written, or after `ms`. */
   flush(ms: Milliseconds): Promise<void>;
 }
 
-/** Lines a second of one kind of event: twice what the planned rate of requests writes of each. */
+/** Maximum lines per second and event; twice the number at the planned request rate. */
 const LINES_PER_SECOND = 60;
 /**
- * Lines a second of an event that tells of something gone wrong, or how a request ended: a gateway
- * takes several times its planned rate while others of its failure domain stop.
+ * Maximum lines per second and event for warnings, errors and request ends. Leaves room for the load
+ * that a gateway takes over when others in its failure domain stop.
  */
-const KEPT_LINES_PER_SECOND = 200;
-/** Bytes that may wait for a reader; beyond it lines are left out until it reads on. */
-const MOST_WAITING_BYTES = 262_144;
-const SECOND_MS: Milliseconds = 1_000;
-/** Between two looks at whether the reader has all lines. */
+const PRIORITY_LINES_PER_SECOND = 200;
+/** Maximum bytes buffered for standard output; lines are suppressed while it is exceeded. */
+const MAX_PENDING_BYTES = 262_144;
+const WINDOW_MS: Milliseconds = 1_000;
+/** Interval between checks for pending output during a flush. */
 const FLUSH_POLL_MS: Milliseconds = 5;
 
-interface EventCount {
+interface LineCount {
   lines: number;
   suppressed: number;
 }
 
 /**
- * A logger of JSON lines on standard output.
+ * Creates a logger that writes JSON lines to standard output.
  *
- * Guards against logs that cost requests: a burst of failures would fill the reader's pipe and the
- * process would stand still in its writes. What is left out is counted, and the count is written.
+ * Limits the output so that a burst of events cannot fill the pipe and block the process on writes.
+ * The number of suppressed lines is logged for each event.
  */
 export function createBoundedLogger(options: BoundedLoggerOptions): BoundedLogger {
   const { source, level, clock, onSuppressed } = options;
@@ -55,7 +55,7 @@
     // eslint-disable-next-line @typescript-eslint/no-unsafe-class-instance-assignment
     transports: [new transports.Stream({ stream: process.stdout })],
   });
-  const counts = new Map<LogEventName, EventCount>();
+  const counts = new Map<LogEventName, LineCount>();
   let windowStart = clock.now();
 
   const write = (name: LogEventName, values: object): void => {
@@ -82,19 +82,20 @@
   };
   return {
     flush: async (ms) => {
-      const endAt = clock.now() + ms;
+      const deadline = clock.now() + ms;
       startWindow(clock.now());
-      while (process.stdout.writableLength > 0 && clock.now() < endAt) await sleep(FLUSH_POLL_MS);
+      while (process.stdout.writableLength > 0 && clock.now() < deadline)
+        await sleep(FLUSH_POLL_MS);
     },
     log: (name, values = {}) => {
       const now = clock.now();
-      if (now - windowStart >= SECOND_MS) startWindow(now);
+      if (now - windowStart >= WINDOW_MS) startWindow(now);
       const count = counts.get(name) ?? { lines: 0, suppressed: 0 };
       counts.set(name, count);
-      const { level: eventLevel, isEnd } = LOG_EVENTS[name] as LogEvent;
-      const isKept = eventLevel === 'warn' || eventLevel === 'error' || isEnd === true;
-      const most = isKept ? KEPT_LINES_PER_SECOND : LINES_PER_SECOND;
-      if (count.lines >= most || process.stdout.writableLength > MOST_WAITING_BYTES) {
+      const { level: eventLevel, isRequestEnd } = LOG_EVENTS[name] as LogEvent;
+      const isPriority = eventLevel === 'warn' || eventLevel === 'error' || isRequestEnd === true;
+      const maxLines = isPriority ? PRIORITY_LINES_PER_SECOND : LINES_PER_SECOND;
+      if (count.lines >= maxLines || process.stdout.writableLength > MAX_PENDING_BYTES) {
         count.suppressed += 1;
         return;
       }
--- a/src/core/logger/events.ts
+++ b/src/core/logger/events.ts
@@ -1,19 +1,19 @@
 /**
- * The catalogue of log events. Numbers are never reused; docs/log-events.md lists them all.
+ * Catalogue of log events. Numbers are never reused; docs/log-events.md lists them all.
  *
- * Blocks: 1000 the entry itself, 1100 configuration, 1200 membership, 1300 replicas, 1400 health,
- * 1500 requests, 1600 calls that may run only once, 1700 platform, 1800 operators, 1900 stand-ins,
- * 2000 the gateway itself, 2100 what it learns from the store, 2200 other gateways, 2300 suspicions,
- * 2400 replicas that it keeps, 2500 requests that it forwards.
+ * Number ranges of the entry: 1000 process, 1100 configuration, 1200 membership, 1300 replicas,
+ * 1400 health, 1500 requests, 1600 non-idempotent calls, 1700 platform, 1800 operators. Reserved for
+ * stand-ins: 1900. Ranges of the gateway: 2000 process, 2100 store, 2200 other gateways, 2300 failure
+ * detection, 2400 replicas, 2500 requests.
  */
 
-/** What is known of one kind of event. `message` tells an operator what happened. */
+/** Definition of a log event. `message` tells an operator what happened. */
 export interface LogEvent {
   number: number;
   level: 'error' | 'warn' | 'info' | 'debug';
   message: string;
-  /** Tells how a request ended: kept as those of failures are, for without it nothing can be told. */
-  isEnd?: true;
+  /** Marks the event that records the end of a request; rate-limited like warnings and errors. */
+  isRequestEnd?: true;
 }
 
 export const LOG_EVENTS = {
@@ -308,7 +308,7 @@
     number: 2503,
     level: 'info',
     message: 'A request was answered.',
-    isEnd: true,
+    isRequestEnd: true,
   },
   requestEnded: { number: 2504, level: 'warn', message: 'A request ended without a good answer.' },
   requestRefusedAtDoor: {
@@ -328,5 +328,4 @@
   },
 } as const satisfies Record<string, LogEvent>;
 
-/** The name of an event of the catalogue. */
 export type LogEventName = keyof typeof LOG_EVENTS;
--- a/src/core/logger/logger.ts
+++ b/src/core/logger/logger.ts
@@ -1,19 +1,18 @@
 /**
- * Logs as numbered events, one JSON line each.
+ * Structured logging of numbered events, one JSON line each.
  */
 import { createLogger as createWinston, format, transports } from 'winston';
 import { LOG_EVENTS, type LogEventName } from './events.js';
 
-/** Values that go into a log line beside the event's number and message. */
+/** Additional fields of a log line. */
 export type LogValues = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Where events are logged. */
 export interface Logger {
   log(event: LogEventName, values?: LogValues): void;
 }
 
 /**
- * A logger to standard error. `source` names the process in every line.
+ * Creates a logger that writes to standard error. `source` names the process in every line.
  *
  * @example createLogger('entry-1', 'info').log('entryStarted', { address: '127.0.0.1:8080' });
  */
@@ -40,5 +39,5 @@
   };
 }
 
-/** A logger that drops everything. */
+/** A logger that discards all events. */
 export const silentLogger: Logger = { log: () => undefined };
