--- a/src/core/settings/combinations.ts
+++ b/src/core/settings/combinations.ts
@@ -42,7 +42,7 @@
 /**
  * Returns the faults of `settings` that the schema cannot detect because they involve several values.
  *
- * @example findImpossibleCombinations(settings).length === 0
+ * @example findIncompatibleSettings(settings).length === 0
  */
 export function findIncompatibleSettings(settings: EntrySettings): SettingsFault[] {
   return [...checkRules(settings), ...checkAddresses(settings), ...checkListeners(settings)];
