--- a/src/core/listening/idle-connections.ts
+++ b/src/core/listening/idle-connections.ts
@@ -17,7 +17,7 @@
 /** State of a connection that has carried at least one request. */
 interface ConnectionState {
   pendingResponses: number;
-  /** Value of `socket.bytesRead` after the last response; a higher one means that a new request has begun. */
+  /** `socket.bytesRead` after the last response; it is higher once another request has begun. */
   bytesRead: number;
 }
 
