--- a/src/core/settings/issues.ts
+++ b/src/core/settings/issues.ts
@@ -7,7 +7,7 @@
 export interface SettingsFault {
   /** Dotted path of the key. */
   key: string;
-  /** The invalid value as JSON, truncated. */
+  /** The invalid value as found, truncated. */
   value: string;
   /** How to correct the value. */
   fix: string;
