--- a/src/entry/requests/completions.ts
+++ b/src/entry/requests/completions.ts
@@ -18,7 +18,7 @@
 import { estimateTokens, hashPrefixes } from '../../controllers/routing/index.js';
 import type { Failure } from '../../core/errors/index.js';
 import type { CompletionRun } from './completion-run.js';
-import { sendAttempt } from './completion-sending.js';
+import { sendAttempt } from './completion-attempt.js';
 import { logRetry } from './request-log.js';
 import type { RequestParts } from './types.js';
 
--- a/src/entry/requests/once-calls.ts
+++ b/src/entry/requests/once-calls.ts
@@ -8,8 +8,8 @@
 import type { SendOutcome, StoredAnswer } from '../../controllers/calls/types.js';
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import type { Service } from '../../objects/index.js';
-import { chooseServiceInstance, reportInstance } from './instances.js';
-import { composeRequest, createNoCapacity } from './sent-call.js';
+import { chooseServiceInstance, reportInstance } from './service-instances.js';
+import { composeRequest, createNoCapacity } from './service-request.js';
 import type { RequestParts } from './types.js';
 
 /** Largest answer that is read; one too large for a record is still passed on. */
--- a/src/entry/requests/service-calls.ts
+++ b/src/entry/requests/service-calls.ts
@@ -16,10 +16,10 @@
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import type { Service } from '../../objects/index.js';
 import { createDeadline, type Deadline } from './deadline.js';
-import { chooseServiceInstance, reportInstance } from './instances.js';
+import { chooseServiceInstance, reportInstance } from './service-instances.js';
 import { runOnceCall } from './once-calls.js';
 import { logRetry } from './request-log.js';
-import { composeRequest, createNoCapacity } from './sent-call.js';
+import { composeRequest, createNoCapacity } from './service-request.js';
 import type { RequestParts } from './types.js';
 
 /** Bodies up to this size are held, so that a call can be sent again; larger ones are streamed. */
--- a/src/entry/requests/types.ts
+++ b/src/entry/requests/types.ts
@@ -10,10 +10,10 @@
 import type { EntryContext, Part } from '../types.js';
 import type { Dispatcher } from './dispatcher.js';
 import type { AdmissionGate, RetryGate } from './gates.js';
-import type { InFlight } from './in-flight.js';
-import type { LossWatch } from './loss-watch.js';
+import type { InFlight } from './attempt-tracker.js';
+import type { LossWatch } from './replica-loss-monitor.js';
 import type { OpenRequests } from './open-requests.js';
-import type { PauseWatch } from './pause-watch.js';
+import type { PauseWatch } from './pause-detector.js';
 
 /** What the request path needs of other parts. */
 export interface RequestDependencies {
