--- a/src/entry/requests/attempt-tracker.ts
+++ b/src/entry/requests/attempt-tracker.ts
@@ -1,53 +1,53 @@
 /**
- * Keeps the `attempts` section: what is in flight where, and what was sent and asked for lately.
+ * Maintains the `attempts` section of the board: attempts in flight per target, recently sent
+ * requests per replica and recent demand per workspace.
  *
- * The section is written at a bounded rate, whatever the number of requests, with two exceptions:
- * a change of who is leaving or draining, and an end at such a target, are written at once. A drain
- * waits for the count to reach none, and a count that is late would let a backend server be stopped
- * under a request that had just been sent to it.
+ * Writes are rate-limited, except when the draining targets or a count at one of them change.
+ * A drain waits for the count to reach zero; a stale count could stop a backend server that still
+ * has a request.
  */
 import type { Attempts, SentCount, WorkspaceDemand } from '../../board/index.js';
 import { isLeaving } from '../../controllers/health/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { EntryContext, Part } from '../types.js';
 
-const WRITE_EVERY_MS = 100;
+const WRITE_INTERVAL_MS = 100;
 const MS_PER_SECOND = 1_000;
 
-/** What a workspace asked for in the current period. */
-interface Asked {
+/** Demand of a workspace in the current period. */
+interface WorkspaceCounters {
   requests: number;
   tokens: number;
-  open: number;
+  concurrentRequests: number;
 }
 
-export interface InFlight extends Part {
-  /** By instance and replica id, up to date. */
+export interface AttemptTracker extends Part {
+  /** Current attempts in flight by instance name and replica id. */
   counts: ReadonlyMap<string, number>;
   begin(targets: readonly string[]): void;
   end(targets: readonly string[]): void;
   recordSent(replica: string, promptTokens: number, outputTokens: number): void;
-  /** A workspace asked for a request of so many tokens, whether or not it was admitted. */
-  recordAsked(workspace: string, tokens: number): void;
-  recordAnswered(workspace: string): void;
+  /** Records a request of `tokens` tokens, whether or not it is admitted. */
+  recordDemand(workspace: string, tokens: number): void;
+  recordFinished(workspace: string): void;
 }
 
-/** The keeper of the section; it writes nothing before it is started. */
-export function createInFlight(context: EntryContext): InFlight {
+/** Creates the tracker; it writes nothing until it is started. */
+export function createAttemptTracker(context: EntryContext): AttemptTracker {
   const { board, writers, clock, settings } = context;
   const periodMs = settings.membership.digestEveryMs;
   const counts = new Map<string, number>();
-  const sent = new Map<string, SentCount>();
-  const asked = new Map<string, Asked>();
-  const closers: (() => void)[] = [];
+  const sentCounts = new Map<string, SentCount>();
+  const demands = new Map<string, WorkspaceCounters>();
+  const cleanups: (() => void)[] = [];
   let draining: ReadonlySet<string> = new Set();
-  let changed = false;
+  let hasUnwrittenChanges = false;
   let periodStart = clock.now();
   let lastSent: readonly SentCount[] = [];
   let lastDemands: readonly WorkspaceDemand[] = [];
 
   function write(): void {
-    changed = false;
+    hasUnwrittenChanges = false;
     const attempts: Attempts = { inFlight: new Map(counts), sent: lastSent, demands: lastDemands };
     writers.attempts.write(attempts);
   }
@@ -55,19 +55,19 @@
   function tick(): void {
     const now = clock.now();
     if (now - periodStart >= periodMs) closePeriod(now);
-    if (changed) write();
+    if (hasUnwrittenChanges) write();
   }
 
   function closePeriod(now: Milliseconds): void {
-    lastSent = [...sent.values()];
-    lastDemands = listDemands(asked, now - periodStart);
-    sent.clear();
-    for (const [workspace, one] of asked) {
-      if (one.open === 0) asked.delete(workspace);
-      else Object.assign(one, { requests: 0, tokens: 0 });
+    lastSent = [...sentCounts.values()];
+    lastDemands = listDemands(demands, now - periodStart);
+    sentCounts.clear();
+    for (const [workspace, demand] of demands) {
+      if (demand.concurrentRequests === 0) demands.delete(workspace);
+      else Object.assign(demand, { requests: 0, tokens: 0 });
     }
     periodStart = now;
-    changed = true;
+    hasUnwrittenChanges = true;
   }
 
   function refreshDraining(): void {
@@ -75,54 +75,54 @@
     write();
   }
 
-  function touch(targets: readonly string[]): void {
+  function recordChange(targets: readonly string[]): void {
     if (targets.some((target) => draining.has(target))) write();
-    else changed = true;
+    else hasUnwrittenChanges = true;
   }
 
-  function openAsked(workspace: string): Asked {
-    const one = asked.get(workspace) ?? { requests: 0, tokens: 0, open: 0 };
-    asked.set(workspace, one);
-    return one;
+  function getOrCreateDemand(workspace: string): WorkspaceCounters {
+    const demand = demands.get(workspace) ?? { requests: 0, tokens: 0, concurrentRequests: 0 };
+    demands.set(workspace, demand);
+    return demand;
   }
 
   return {
     counts,
     begin: (targets) => {
       for (const target of targets) counts.set(target, (counts.get(target) ?? 0) + 1);
-      touch(targets);
+      recordChange(targets);
     },
     end: (targets) => {
       for (const target of targets) {
-        const left = (counts.get(target) ?? 1) - 1;
-        if (left > 0) counts.set(target, left);
+        const remaining = (counts.get(target) ?? 1) - 1;
+        if (remaining > 0) counts.set(target, remaining);
         else counts.delete(target);
       }
-      touch(targets);
+      recordChange(targets);
     },
     recordSent: (replica, promptTokens, outputTokens) => {
-      const one = sent.get(replica);
-      sent.set(replica, {
+      const previous = sentCounts.get(replica);
+      sentCounts.set(replica, {
         replica,
-        requests: (one?.requests ?? 0) + 1,
-        promptTokens: (one?.promptTokens ?? 0) + promptTokens,
-        outputTokens: (one?.outputTokens ?? 0) + outputTokens,
+        requests: (previous?.requests ?? 0) + 1,
+        promptTokens: (previous?.promptTokens ?? 0) + promptTokens,
+        outputTokens: (previous?.outputTokens ?? 0) + outputTokens,
       });
     },
-    recordAsked: (workspace, tokens) => {
-      const one = openAsked(workspace);
-      one.requests += 1;
-      one.tokens += tokens;
-      one.open += 1;
+    recordDemand: (workspace, tokens) => {
+      const demand = getOrCreateDemand(workspace);
+      demand.requests += 1;
+      demand.tokens += tokens;
+      demand.concurrentRequests += 1;
     },
-    recordAnswered: (workspace) => {
-      const one = openAsked(workspace);
-      one.open = Math.max(0, one.open - 1);
+    recordFinished: (workspace) => {
+      const demand = getOrCreateDemand(workspace);
+      demand.concurrentRequests = Math.max(0, demand.concurrentRequests - 1);
     },
     start: () => {
       refreshDraining();
-      const timer = setInterval(tick, WRITE_EVERY_MS);
-      closers.push(
+      const timer = setInterval(tick, WRITE_INTERVAL_MS);
+      cleanups.push(
         () => {
           clearInterval(timer);
         },
@@ -131,7 +131,7 @@
       );
     },
     stop: () => {
-      for (const close of closers.splice(0)) close();
+      for (const cleanup of cleanups.splice(0)) cleanup();
       write();
       return Promise.resolve();
     },
@@ -147,12 +147,15 @@
   return new Set([...instances, ...fleet.leaving, ...replicas]);
 }
 
-function listDemands(asked: ReadonlyMap<string, Asked>, span: Milliseconds): WorkspaceDemand[] {
-  const seconds = span / MS_PER_SECOND;
-  return [...asked].map(([workspace, { requests, tokens, open }]) => ({
+function listDemands(
+  demands: ReadonlyMap<string, WorkspaceCounters>,
+  elapsedMs: Milliseconds,
+): WorkspaceDemand[] {
+  const seconds = elapsedMs / MS_PER_SECOND;
+  return [...demands].map(([workspace, { requests, tokens, concurrentRequests }]) => ({
     workspace,
     requestsPerSecond: requests / seconds,
     tokensPerSecond: tokens / seconds,
-    concurrentRequests: open,
+    concurrentRequests,
   }));
 }
--- a/src/entry/requests/completion-attempt.ts
+++ b/src/entry/requests/completion-attempt.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt of a completion: sends it, hands on its chunks and reports how it ended.
+ * Runs one attempt of a completion: sends it, relays its chunks and reports its outcome.
  */
 import type {
   CompletionStart,
@@ -9,41 +9,47 @@
 import type { AttemptEnd } from '../../controllers/retries/index.js';
 import { enginePriority, type SentOutcome } from '../../controllers/routing/index.js';
 import { createFailure } from '../../core/errors/index.js';
-import type { CompletionRun, Sending } from './completion-run.js';
+import type { CompletionRun, ActiveAttempt } from './completion-run.js';
 
-/** Sends one attempt to `candidate` and follows it to its end. */
+/** Sends an attempt to `candidate` and processes it until it ends. */
 export async function sendAttempt(
   run: CompletionRun,
   attempt: string,
-  { candidate, isCrowding }: Pick<Sending, 'candidate' | 'isCrowding'>,
+  { candidate, isCrowding }: Pick<ActiveAttempt, 'candidate' | 'isCrowding'>,
 ): Promise<void> {
-  const { dispatcher, inFlight, losses, retries, context } = run.parts;
-  const sending: Sending = { attempt, candidate, isCrowding, abort: new AbortController() };
+  const { dispatcher, attemptTracker, lossMonitor, retries, context } = run.parts;
+  const active: ActiveAttempt = {
+    attempt,
+    candidate,
+    isCrowding,
+    abortController: new AbortController(),
+  };
   const targets = [candidate.replica, ...candidate.members];
-  run.sending = sending;
-  if (run.offers === 1) run.timings.queue(context.clock.now() - run.arrivedAt);
-  if (run.offers === 1) retries.recordFirst(candidate.replica, run.request.caller.workspace);
-  inFlight.recordSent(candidate.replica, run.promptTokens, run.request.maxTokens);
-  inFlight.begin(targets);
+  run.activeAttempt = active;
+  if (run.offerCount === 1) run.timings.queue(context.clock.now() - run.arrivedAt);
+  if (run.offerCount === 1)
+    retries.recordFirstAttempt(candidate.replica, run.request.caller.workspace);
+  attemptTracker.recordSent(candidate.replica, run.promptTokens, run.request.maxTokens);
+  attemptTracker.begin(targets);
   run.apply({ kind: 'sent', attempt });
-  const endWatch = losses.watch(candidate, (reason) => {
-    // The attempt ends here and now: what its stream still brings is dropped.
+  const stopWatching = lossMonitor.watch(candidate, (reason) => {
+    // Ends the attempt immediately; later chunks of its stream are dropped.
     run.apply({ kind: 'ended', attempt, end: { kind: 'lost', reason } });
   });
-  const outcome = await follow(run, sending).catch((error: unknown) => {
-    // Nothing below is expected to throw. Without an end of the attempt its request would hang and
-    // its replica would never count as drained.
+  const outcome = await runAttempt(run, active).catch((error: unknown) => {
+    // An unexpected error must still end the attempt; otherwise the request would hang and its
+    // replica would never finish draining.
     const reason = error instanceof Error ? error.message : String(error);
     context.logger.log('unexpectedError', { reason });
-    return endAttempt(run, sending, { kind: 'lost', reason });
+    return reportFailedAttempt(run, active, { kind: 'lost', reason });
   });
-  endWatch();
-  inFlight.end(targets);
+  stopWatching();
+  attemptTracker.end(targets);
   dispatcher.reportEnd(attempt, outcome);
 }
 
-function describeRequest(run: CompletionRun, sending: Sending): EngineRequest {
-  const { attempt, candidate, isCrowding } = sending;
+function buildEngineRequest(run: CompletionRun, active: ActiveAttempt): EngineRequest {
+  const { attempt, candidate, isCrowding } = active;
   const { request, parts, state, seed } = run;
   const { policy } = parts.context.board.configuration.read();
   return {
@@ -59,28 +65,28 @@
   };
 }
 
-async function follow(run: CompletionRun, sending: Sending): Promise<SentOutcome> {
+async function runAttempt(run: CompletionRun, active: ActiveAttempt): Promise<SentOutcome> {
   const { engines } = run.parts.context;
-  const request = describeRequest(run, sending);
-  const { address } = sending.candidate;
-  const start = await engines.complete(address, request, sending.abort.signal);
+  const request = buildEngineRequest(run, active);
+  const { address } = active.candidate;
+  const start = await engines.complete(address, request, active.abortController.signal);
   switch (start.kind) {
     case 'started':
-      return relayChunks(run, sending, start.chunks);
+      return relayChunks(run, active, start.chunks);
     case 'refused':
-      return acceptRefusal(run, sending, start.refusal);
+      return handleRefusal(run, active, start.refusal);
     case 'notSent':
     case 'lost':
-      return endAttempt(run, sending, { kind: start.kind, reason: start.reason });
+      return reportFailedAttempt(run, active, { kind: start.kind, reason: start.reason });
   }
 }
 
 async function relayChunks(
   run: CompletionRun,
-  sending: Sending,
+  active: ActiveAttempt,
   chunks: Extract<CompletionStart, { kind: 'started' }>['chunks'],
 ): Promise<SentOutcome> {
-  const { attempt } = sending;
+  const { attempt } = active;
   const { state, parts } = run;
   let tokens = 0;
   for await (const chunk of chunks) {
@@ -91,32 +97,37 @@
       return { kind: 'completed', outputTokens: tokens - 1, cachedTokens: chunk.cachedTokens };
     }
     if (state.attempt !== attempt) break;
-    if (run.flow) await run.flow;
+    if (run.backpressure) await run.backpressure;
   }
   const reason = 'the stream ended without an end mark';
-  return endAttempt(run, sending, { kind: 'cut', reason, received: state.delivered });
+  return reportFailedAttempt(run, active, { kind: 'cut', reason, received: state.delivered });
 }
 
-function acceptRefusal(
+function handleRefusal(
   run: CompletionRun,
-  sending: Sending,
+  active: ActiveAttempt,
   { refusal, reason, retryAfterMs }: EngineRefusal,
 ): SentOutcome {
   if (refusal === 'invalid') {
     run.apply({ kind: 'refused', failure: createFailure('invalidRequest', { reason }) });
     return { kind: 'refused' };
   }
-  // An engine that does not lead a whole replica says so before the next probe does.
-  if (refusal !== 'overloaded') run.parts.health.reportFailure(sending.candidate.leader);
+  // Other refusals mean that the engine can't serve the replica; don't wait for the next probe.
+  if (refusal !== 'overloaded') run.parts.health.reportFailure(active.candidate.leader);
   const end: AttemptEnd = { kind: 'refused', reason, retryAfterMs };
-  run.apply({ kind: 'ended', attempt: sending.attempt, end });
+  run.apply({ kind: 'ended', attempt: active.attempt, end });
   return { kind: 'refused' };
 }
 
-/** Reports an attempt that ended badly, unless it was cancelled here. */
-function endAttempt(run: CompletionRun, sending: Sending, end: AttemptEnd): SentOutcome {
-  if (sending.abort.signal.aborted && run.state.phase === 'answered') return { kind: 'cancelled' };
-  run.parts.health.reportFailure(sending.candidate.leader);
-  run.apply({ kind: 'ended', attempt: sending.attempt, end });
+/** Reports a failed attempt, unless this entry cancelled it. */
+function reportFailedAttempt(
+  run: CompletionRun,
+  active: ActiveAttempt,
+  end: AttemptEnd,
+): SentOutcome {
+  if (active.abortController.signal.aborted && run.state.phase === 'answered')
+    return { kind: 'cancelled' };
+  run.parts.health.reportFailure(active.candidate.leader);
+  run.apply({ kind: 'ended', attempt: active.attempt, end });
   return { kind: end.kind === 'notSent' ? 'notSent' : 'lost' };
 }
--- a/src/entry/requests/completion-run.ts
+++ b/src/entry/requests/completion-run.ts
@@ -1,5 +1,5 @@
 /**
- * What is kept of one completion under way.
+ * State of a completion in progress.
  */
 import type {
   CompletionOutcome,
@@ -12,16 +12,15 @@
 import type { RequestTimings } from '../../core/metrics/index.js';
 import type { RequestParts } from './types.js';
 
-/** An attempt that has been sent and not ended. */
-export interface Sending {
+/** An attempt that was sent and has not ended. */
+export interface ActiveAttempt {
   attempt: string;
   candidate: Candidate;
-  /** Its workspace crowds out others at this entry. */
+  /** Whether the workspace takes capacity from others here; lowers its priority at the engine. */
   isCrowding: boolean;
-  abort: AbortController;
+  abortController: AbortController;
 }
 
-/** One completion under way. */
 export interface CompletionRun {
   parts: RequestParts;
   request: CompletionRequest;
@@ -32,15 +31,15 @@
   promptTokens: number;
   prefixes: readonly Prefix[];
   seed: number;
-  /** The ticket of the current offer, also the id of the attempt made of it. */
+  /** Ticket of the current offer to the dispatcher; also the id of the resulting attempt. */
   ticket: string;
-  offers: number;
-  sending: Sending | undefined;
-  /** Pending while the caller can't take more. */
-  flow: Promise<void> | undefined;
+  offerCount: number;
+  activeAttempt: ActiveAttempt | undefined;
+  /** Pending while the caller's connection applies backpressure. */
+  backpressure: Promise<void> | undefined;
   lastTokenAt: Milliseconds | undefined;
   retryTimer: NodeJS.Timeout | undefined;
   resolve: (outcome: CompletionOutcome) => void;
-  /** Tells the state machine and performs what it answers. */
+  /** Passes an event to the state machine and performs the resulting actions. */
   apply: (event: AttemptEvent) => void;
 }
--- a/src/entry/requests/completions.ts
+++ b/src/entry/requests/completions.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one completion: performs the actions of its state machine and feeds it what happens.
+ * Runs a completion: passes events to its state machine and performs the resulting actions.
  */
 import type {
   CompletionOutcome,
@@ -22,9 +22,9 @@
 import { logRetry } from './request-log.js';
 import type { RequestParts } from './types.js';
 
-const SEED_BOUND = 2 ** 30;
+const SEED_UPPER_BOUND = 2 ** 30;
 
-/** Serves one completion to its only final answer. */
+/** Serves a completion until its final outcome. */
 export async function runCompletion(
   parts: RequestParts,
   request: CompletionRequest,
@@ -35,10 +35,13 @@
   const model = resolveModel(configuration.read(), workspace, request.model);
   if (model.isErr()) return { kind: 'failed', failure: model.error };
   const promptTokens = estimateTokens(request.messages);
-  const asked: AdmissionRequest = { workspace, tokens: promptTokens + request.maxTokens };
-  parts.inFlight.recordAsked(workspace, asked.tokens);
-  const outcome = await runAdmitted(parts, request, output, asked, promptTokens);
-  parts.inFlight.recordAnswered(workspace);
+  const admissionRequest: AdmissionRequest = {
+    workspace,
+    tokens: promptTokens + request.maxTokens,
+  };
+  parts.attemptTracker.recordDemand(workspace, admissionRequest.tokens);
+  const outcome = await runAdmitted(parts, request, output, admissionRequest, promptTokens);
+  parts.attemptTracker.recordFinished(workspace);
   return outcome;
 }
 
@@ -46,14 +49,14 @@
   parts: RequestParts,
   request: CompletionRequest,
   output: TokenOutput,
-  asked: AdmissionRequest,
+  admissionRequest: AdmissionRequest,
   promptTokens: number,
 ): Promise<CompletionOutcome> {
-  const admission = parts.admission.admit(asked);
+  const admission = parts.admission.admit(admissionRequest);
   if (admission.kind === 'refused') return { kind: 'failed', failure: admission.failure };
   const run = createRun(parts, request, output, promptTokens);
   const outcome = await runAttempts(run);
-  parts.admission.release(asked, promptTokens + run.state.delivered);
+  parts.admission.release(admissionRequest, promptTokens + run.state.delivered);
   run.timings.whole(parts.context.clock.now() - run.arrivedAt);
   return outcome;
 }
@@ -75,18 +78,18 @@
     arrivedAt: clock.now(),
     promptTokens,
     prefixes: hashPrefixes(request.messages),
-    seed: request.seed ?? random.below(SEED_BOUND),
+    seed: request.seed ?? random.below(SEED_UPPER_BOUND),
     ticket: '',
-    offers: 0,
-    sending: undefined,
-    flow: undefined,
+    offerCount: 0,
+    activeAttempt: undefined,
+    backpressure: undefined,
     lastTokenAt: undefined,
     retryTimer: undefined,
     resolve: () => undefined,
     apply: () => undefined,
   };
   run.apply = (event) => {
-    for (const action of advanceAttempt(run.state, event)) perform(run, action);
+    for (const action of advanceAttempt(run.state, event)) performAction(run, action);
   };
   return run;
 }
@@ -94,30 +97,30 @@
 async function runAttempts(run: CompletionRun): Promise<CompletionOutcome> {
   const { request, parts } = run;
   const { signal, caller } = request;
-  const left = Math.max(0, caller.deadlineAt - parts.context.clock.now());
+  const remainingMs = Math.max(0, caller.deadlineAt - parts.context.clock.now());
   const deadline = setTimeout(() => {
     run.apply({ kind: 'deadline' });
-  }, left);
-  const leave = (): void => {
+  }, remainingMs);
+  const onCallerGone = (): void => {
     run.apply({ kind: 'callerGone' });
   };
-  signal.addEventListener('abort', leave);
+  signal.addEventListener('abort', onCallerGone);
   const outcome = await new Promise<CompletionOutcome>((resolve) => {
     run.resolve = resolve;
-    if (signal.aborted) leave();
-    else offer(run, []);
+    if (signal.aborted) onCallerGone();
+    else offerToDispatcher(run, []);
   });
   clearTimeout(deadline);
   clearTimeout(run.retryTimer);
-  signal.removeEventListener('abort', leave);
+  signal.removeEventListener('abort', onCallerGone);
   parts.dispatcher.withdraw(run.ticket);
   return outcome;
 }
 
-function perform(run: CompletionRun, action: AttemptAction): void {
+function performAction(run: CompletionRun, action: AttemptAction): void {
   switch (action.kind) {
     case 'relay':
-      relay(run, action.text);
+      relayText(run, action.text);
       return;
     case 'finish':
       run.resolve({ kind: 'whole', reason: action.reason, tokens: action.tokens });
@@ -126,41 +129,41 @@
       run.resolve({ kind: 'failed', failure: action.failure });
       return;
     case 'cancel':
-      cancel(run);
+      cancelAttempt(run);
       return;
     case 'decide':
-      decide(run, action.end);
+      decideRetry(run, action.end);
       return;
     case 'ask':
       run.parts.metrics.countRetry();
       run.retryTimer = setTimeout(() => {
-        offerAgain(run, action.exclude);
+        offerRetry(run, action.exclude);
       }, action.afterMs);
       return;
   }
 }
 
-function relay(run: CompletionRun, text: string): void {
+function relayText(run: CompletionRun, text: string): void {
   const now = run.parts.context.clock.now();
   if (run.lastTokenAt === undefined) run.timings.firstToken(now - run.arrivedAt);
   else run.timings.betweenTokens(now - run.lastTokenAt);
   run.lastTokenAt = now;
-  run.flow = run.output.relay(text);
+  run.backpressure = run.output.relay(text);
 }
 
-function cancel({ sending, parts }: CompletionRun): void {
-  if (!sending) return;
-  sending.abort.abort();
-  // Closing the connection is enough for most engines; the call covers those that only notice when
-  // they next write. When it fails, the engine finishes an answer that nobody reads.
-  void parts.context.engines.cancel(sending.candidate.address, sending.attempt);
+function cancelAttempt({ activeAttempt, parts }: CompletionRun): void {
+  if (!activeAttempt) return;
+  activeAttempt.abortController.abort();
+  // Some engines only detect a closed connection on their next write, so cancel explicitly as well.
+  // If the call fails, the engine completes a response that nobody reads.
+  void parts.context.engines.cancel(activeAttempt.candidate.address, activeAttempt.attempt);
 }
 
-function decide(run: CompletionRun, end: AttemptEnd): void {
+function decideRetry(run: CompletionRun, end: AttemptEnd): void {
   const { request, state, parts } = run;
   const decision = parts.retries.decide({
     end,
-    target: run.sending?.candidate.replica ?? '',
+    target: run.activeAttempt?.candidate.replica ?? '',
     workspace: request.caller.workspace,
     repeatable: true,
     resumable: true,
@@ -173,15 +176,18 @@
   run.apply({ kind: 'decided', decision });
 }
 
-function offerAgain(run: CompletionRun, failed: string): void {
+function offerRetry(run: CompletionRun, failedReplica: string): void {
   const { eligible, context } = run.parts;
-  offer(run, listExcluded(failed, eligible.list(run.request.model, context.clock.now())));
+  offerToDispatcher(
+    run,
+    listExcluded(failedReplica, eligible.list(run.request.model, context.clock.now())),
+  );
 }
 
-function offer(run: CompletionRun, excluded: readonly string[]): void {
+function offerToDispatcher(run: CompletionRun, excluded: readonly string[]): void {
   const { request, parts, promptTokens, prefixes, arrivedAt, state } = run;
-  run.offers += 1;
-  const ticket = `${request.id}.${run.offers}`;
+  run.offerCount += 1;
+  const ticket = `${request.id}.${run.offerCount}`;
   run.ticket = ticket;
   parts.dispatcher.offer(
     {
@@ -197,14 +203,14 @@
       excluded,
       mayHaveRun: state.mayHaveRun,
     },
-    (grant) => {
-      if (grant.kind === 'refused') run.apply(grant);
-      else void sendAttempt(run, ticket, grant);
+    (result) => {
+      if (result.kind === 'refused') run.apply(result);
+      else void sendAttempt(run, ticket, result);
     },
   );
 }
 
-/** The failure of an outcome, for counting. */
-export function findFailure(outcome: CompletionOutcome): Failure | undefined {
+/** Returns the failure of an outcome, if it has one. */
+export function getFailure(outcome: CompletionOutcome): Failure | undefined {
   return outcome.kind === 'failed' ? outcome.failure : undefined;
 }
--- a/src/entry/requests/deadline.ts
+++ b/src/entry/requests/deadline.ts
@@ -1,30 +1,30 @@
 /**
- * A deadline as an abort signal.
+ * An abort signal that fires at a deadline.
  */
 import type { Clock, Milliseconds } from '../../core/clock/index.js';
 
 export interface Deadline {
   signal: AbortSignal;
-  /** Replaces the instant, unless it has passed. */
-  moveTo(at: Milliseconds): void;
+  /** Moves the deadline; has no effect once the signal is aborted. */
+  reschedule(at: Milliseconds): void;
   clear(): void;
 }
 
-/** Aborts its signal at the instant `at` of `clock`. */
+/** Creates a deadline whose signal is aborted at `at`. */
 export function createDeadline(clock: Clock, at: Milliseconds): Deadline {
   const controller = new AbortController();
   let timer: NodeJS.Timeout | undefined;
-  const moveTo = (instant: Milliseconds): void => {
+  const reschedule = (instant: Milliseconds): void => {
     clearTimeout(timer);
-    const left = Math.max(0, instant - clock.now());
+    const delayMs = Math.max(0, instant - clock.now());
     timer = setTimeout(() => {
       controller.abort();
-    }, left);
+    }, delayMs);
   };
-  moveTo(at);
+  reschedule(at);
   return {
     signal: controller.signal,
-    moveTo,
+    reschedule,
     clear: () => {
       clearTimeout(timer);
     },
--- a/src/entry/requests/dispatcher.ts
+++ b/src/entry/requests/dispatcher.ts
@@ -1,5 +1,5 @@
 /**
- * Feeds the dispatch decision and hands its actions to the requests that wait for them.
+ * Runs the dispatch algorithm and delivers its results to the waiting requests.
  */
 import type { Peers, SentCount } from '../../board/index.js';
 import type { EligibleReplicas } from '../../controllers/health/index.js';
@@ -20,37 +20,37 @@
 import type { Failure } from '../../core/errors/index.js';
 import type { EntryContext, Part } from '../types.js';
 
-/** What became of a request that waited. */
+/** Result of waiting for dispatch: a replica to send to, or a refusal. */
 export type Grant =
   | { kind: 'send'; candidate: Candidate; isCrowding: boolean }
   | { kind: 'refused'; failure: Failure };
 
 export interface Dispatcher extends Part {
-  /** Shared with the choice of service instances. */
+  /** Also used to select service instances. */
   state: DispatchState;
-  /** Calls `onGrant` once, perhaps before it returns, unless the request is withdrawn. */
-  offer(request: WaitingRequest, onGrant: (grant: Grant) => void): void;
+  /** Queues a request. Calls `onResult` once, possibly synchronously, unless it is withdrawn. */
+  offer(request: WaitingRequest, onResult: (result: Grant) => void): void;
   withdraw(ticket: string): void;
   reportFirstToken(ticket: string): void;
-  /** A request that was sent has ended, whichever way. */
+  /** Reports the end of a request that was sent, successful or not. */
   reportEnd(ticket: string, outcome: SentOutcome): void;
 }
 
-/** A dispatcher for one entry. Its decisions run on events; a timer covers the rest. */
+/** Creates the dispatcher of an entry. It runs on events, and on a timer for time-based changes. */
 export function createDispatcher(context: EntryContext, eligible: EligibleReplicas): Dispatcher {
   const { board, clock, random, settings, identity } = context;
   const state = createDispatchState();
-  const grants = new Map<string, (grant: Grant) => void>();
-  const listPeersSent = createPeersSent();
-  const closers: (() => void)[] = [];
+  const callbacks = new Map<string, (result: Grant) => void>();
+  const getPeerSentCounts = createPeerSentCounts();
+  const unsubscribers: (() => void)[] = [];
   let timer: NodeJS.Timeout | undefined;
-  let deferred: NodeJS.Immediate | undefined;
+  let scheduledRun: NodeJS.Immediate | undefined;
 
   const view: DispatchView = {
     here: { region: identity.region, failureDomain: identity.failureDomain },
     candidatesOf: (model) => eligible.list(model, clock.now()),
     get peersSent() {
-      return listPeersSent(board.peers.read());
+      return getPeerSentCounts(board.peers.read());
     },
     peersPeriodMs: settings.membership.digestEveryMs,
     get entries() {
@@ -65,41 +65,41 @@
     const now = clock.now();
     const { actions, wakeAt } = dispatch(state, view, now, random);
     if (wakeAt !== undefined) timer = setTimeout(run, Math.max(1, wakeAt - now));
-    for (const action of actions) settle(action);
+    for (const action of actions) deliver(action);
   }
 
-  function settle(action: DispatchAction): void {
-    const grant = grants.get(action.ticket);
-    grants.delete(action.ticket);
-    if (action.kind === 'refuse') grant?.({ kind: 'refused', failure: action.failure });
-    else grant?.(action);
+  function deliver(action: DispatchAction): void {
+    const callback = callbacks.get(action.ticket);
+    callbacks.delete(action.ticket);
+    if (action.kind === 'refuse') callback?.({ kind: 'refused', failure: action.failure });
+    else callback?.(action);
   }
 
-  /** Many events of one turn of the event loop cause one decision. */
-  function runSoon(): void {
-    if (state.waiting.size > 0) deferred ??= setImmediate(runDeferred);
+  /** Coalesces all events of one event loop turn into a single run. */
+  function scheduleRun(): void {
+    if (state.waiting.size > 0) scheduledRun ??= setImmediate(runScheduled);
   }
 
-  function runDeferred(): void {
-    deferred = undefined;
+  function runScheduled(): void {
+    scheduledRun = undefined;
     run();
   }
 
   return {
     state,
-    offer: (request, onGrant) => {
+    offer: (request, onResult) => {
       const { workspaces } = board.configuration.read();
       const weight = workspaces.get(request.workspace)?.value.weight ?? 1;
       const offered = offerRequest(state, request, settings.callers.queueLength, weight);
       if (offered.isErr()) {
-        onGrant({ kind: 'refused', failure: offered.error });
+        onResult({ kind: 'refused', failure: offered.error });
         return;
       }
-      grants.set(request.ticket, onGrant);
+      callbacks.set(request.ticket, onResult);
       run();
     },
     withdraw: (ticket) => {
-      grants.delete(ticket);
+      callbacks.delete(ticket);
       withdrawRequest(state, ticket);
     },
     reportFirstToken: (ticket) => {
@@ -107,23 +107,23 @@
     },
     reportEnd: (ticket, outcome) => {
       reportEnd(state, ticket, outcome, clock.now());
-      runSoon();
+      scheduleRun();
     },
     start: () => {
       const sections = [board.plans, board.fleet, board.health, board.load];
-      closers.push(...sections.map((section) => section.subscribe(runSoon)));
+      unsubscribers.push(...sections.map((section) => section.subscribe(scheduleRun)));
     },
     stop: () => {
-      for (const close of closers.splice(0)) close();
+      for (const unsubscribe of unsubscribers.splice(0)) unsubscribe();
       clearTimeout(timer);
-      clearImmediate(deferred);
+      clearImmediate(scheduledRun);
       return Promise.resolve();
     },
   };
 }
 
-/** The dispatcher indexes the list once for each array, so it stays the same until peers change. */
-function createPeersSent(): (peers: Peers) => readonly SentCount[] {
+/** Caches the list until the peers change, since the dispatcher builds one index per array. */
+function createPeerSentCounts(): (peers: Peers) => readonly SentCount[] {
   let source: Peers | undefined;
   let list: readonly SentCount[] = [];
   return (peers) => {
--- a/src/entry/requests/gates.ts
+++ b/src/entry/requests/gates.ts
@@ -1,5 +1,5 @@
 /**
- * Admission and the retry decision, each with its memory bound to it.
+ * Binds admission control and the retry policy to their state.
  */
 import type { WorkspaceShare } from '../../board/index.js';
 import {
@@ -18,22 +18,22 @@
 } from '../../controllers/retries/index.js';
 import type { EntryContext } from '../types.js';
 
-/** May a workspace be served one more request now? */
+/** Admission control by the limits of each workspace. */
 export interface AdmissionGate {
   admit(request: AdmissionRequest): Admission;
-  /** The admitted request has ended and used `tokens`. */
+  /** Releases an admitted request that used `tokens` tokens. */
   release(request: AdmissionRequest, tokens: number): void;
 }
 
-/** What follows when an attempt ended badly? */
+/** Decides whether a failed attempt is retried. */
 export interface RetryGate {
-  /** The first attempt of a request was sent; it earns part of a retry. */
-  recordFirst(target: string, workspace: string): void;
+  /** Records the first attempt of a request, which adds to the retry budget. */
+  recordFirstAttempt(target: string, workspace: string): void;
   decide(question: RetryQuestion): RetryDecision;
 }
 
-/** A workspace that no share has been worked out for may use nothing. */
-const NO_SHARE: WorkspaceShare = {
+/** Applies to a workspace whose share has not been computed. */
+const ZERO_SHARE: WorkspaceShare = {
   requestsPerSecond: 0,
   tokensPerSecond: 0,
   concurrentRequests: 0,
@@ -43,7 +43,7 @@
   const state = createLimitState();
   return {
     admit: (request) => {
-      const share = board.limits.read().get(request.workspace) ?? NO_SHARE;
+      const share = board.limits.read().get(request.workspace) ?? ZERO_SHARE;
       return admitRequest(state, request, share, clock.now());
     },
     release: ({ workspace, tokens: reserved }, tokens) => {
@@ -55,7 +55,7 @@
 export function createRetryGate({ clock, random }: EntryContext): RetryGate {
   const state = createRetryState();
   return {
-    recordFirst: (target, workspace) => {
+    recordFirstAttempt: (target, workspace) => {
       recordRequest(state, target, workspace, clock.now());
     },
     decide: (question) => decideRetry(state, question, clock.now(), random),
--- a/src/entry/requests/once-calls.ts
+++ b/src/entry/requests/once-calls.ts
@@ -1,5 +1,6 @@
 /**
- * Runs calls to plain services that may run only once: the record decides, this sends.
+ * Runs calls to plain services that may run only once. `onceCalls` decides by the idempotency key
+ * whether a call is sent; this module sends it.
  */
 import { createHash } from 'node:crypto';
 import { ok } from 'neverthrow';
@@ -8,24 +9,24 @@
 import type { SendOutcome, StoredAnswer } from '../../controllers/calls/types.js';
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import type { Service } from '../../objects/index.js';
-import { chooseServiceInstance, reportInstance } from './service-instances.js';
-import { composeRequest, createNoCapacity } from './service-request.js';
+import { chooseServiceInstance, reportInstanceOutcome } from './service-instances.js';
+import { buildServiceRequest, createNoCapacityFailure } from './service-request.js';
 import type { RequestParts } from './types.js';
 
-/** Largest answer that is read; one too large for a record is still passed on. */
-const MAX_ANSWER_BYTES = 8_388_608;
-/** Instances tried when none of those before could be connected to. */
-const MAX_INSTANCES = 3;
+/** Largest response that is read; up to this size it is relayed even if too large to store. */
+const MAX_RESPONSE_BYTES = 8_388_608;
+/** Maximum number of instances tried when connections fail. */
+const MAX_CONNECTION_ATTEMPTS = 3;
 
-/** One call under way, with its whole body. */
-interface OnceRun {
+/** A call in progress, with its complete body. */
+interface OnceCallRun {
   parts: RequestParts;
   call: ServiceCall;
   service: Service;
   body: Uint8Array | undefined;
 }
 
-/** Serves one call that may run only once. */
+/** Serves a call that may run only once. Returns a failure if no response was sent. */
 export async function runOnceCall(
   parts: RequestParts,
   call: ServiceCall,
@@ -37,70 +38,70 @@
   const maxBytes = parts.context.settings.callers.maxBodyBytes;
   const body = call.body ? await call.body.readWhole(maxBytes) : ok(undefined);
   if (body.isErr()) return body.error;
-  const run: OnceRun = { parts, call, service, body: body.value };
-  const once = {
+  const run: OnceCallRun = { parts, call, service, body: body.value };
+  const onceCall = {
     workspace: call.caller.workspace,
     service: call.service,
     key,
     fingerprint: createFingerprint(run),
     deadlineAt: call.caller.deadlineAt,
   };
-  const outcome = await parts.onceCalls.run(once, () => sendCounted(run));
+  const outcome = await parts.onceCalls.run(onceCall, () => sendTracked(run));
   if (outcome.kind === 'failed') return outcome.failure;
   output.send(outcome.answer, outcome.replayed);
   return undefined;
 }
 
-function createFingerprint({ call, body }: OnceRun): string {
+function createFingerprint({ call, body }: OnceCallRun): string {
   const hash = createHash('sha256').update(`${call.method}\n${call.path}${call.query}\n`);
   return hash.update(body ?? '').digest('hex');
 }
 
-/** The caller may be answered before the call has ended, so it counts as open by itself. */
-async function sendCounted(run: OnceRun): Promise<SendOutcome> {
-  run.parts.open.begin();
+/** Counts the call as an open request of its own, since it may outlast the caller's request. */
+async function sendTracked(run: OnceCallRun): Promise<SendOutcome> {
+  run.parts.openRequests.begin();
   try {
-    return await sendToOne(run);
+    return await sendToFirstReachable(run);
   } finally {
-    run.parts.open.end();
+    run.parts.openRequests.end();
   }
 }
 
 /**
- * Sends the call to the first instance that takes a connection. Trying another one is safe only
- * because no byte can have reached the one before; after that the call is never sent again.
+ * Sends the call to the first instance that accepts a connection. Another instance is tried only if
+ * no byte was sent, so the call can't run twice.
  */
-async function sendToOne(run: OnceRun): Promise<SendOutcome> {
+async function sendToFirstReachable(run: OnceCallRun): Promise<SendOutcome> {
   const excluded: string[] = [];
-  while (excluded.length < MAX_INSTANCES) {
-    await run.parts.pauses.whenCurrent();
-    const chosen = chooseServiceInstance(run.parts, run.service, excluded);
-    if (!chosen) break;
-    const outcome = await sendTo(run, chosen.instance, chosen.address);
+  while (excluded.length < MAX_CONNECTION_ATTEMPTS) {
+    await run.parts.pauseDetector.whenRefreshed();
+    const candidate = chooseServiceInstance(run.parts, run.service, excluded);
+    if (!candidate) break;
+    const outcome = await sendToInstance(run, candidate.instance, candidate.address);
     if (outcome) return outcome;
-    excluded.push(chosen.instance);
+    excluded.push(candidate.instance);
   }
-  return { kind: 'notRun', failure: createNoCapacity(run.call.service) };
+  return { kind: 'notRun', failure: createNoCapacityFailure(run.call.service) };
 }
 
-/** Undefined when no byte was sent. */
-async function sendTo(
-  run: OnceRun,
+/** Returns undefined if no byte was sent. */
+async function sendToInstance(
+  run: OnceCallRun,
   instance: string,
   address: string,
 ): Promise<SendOutcome | undefined> {
   const { parts, call, service, body } = run;
   const targets = [instance];
-  parts.inFlight.begin(targets);
-  const start = await parts.services.call(
+  parts.attemptTracker.begin(targets);
+  const result = await parts.services.call(
     address,
-    composeRequest(call, body, service, false),
-    // Not the caller's signal: a caller that comes back with the same key gets the stored answer.
+    buildServiceRequest(call, body, service, false),
+    // Not the caller's signal: a caller that retries with the same key gets the stored response.
     AbortSignal.timeout(service.timeoutMs),
   );
-  const outcome = start.kind === 'started' ? await readAnswer(start.answer) : start;
-  parts.inFlight.end(targets);
-  reportInstance(parts, instance, outcome.kind === 'answered' ? 'served' : 'failed');
+  const outcome = result.kind === 'started' ? await readResponse(result.answer) : result;
+  parts.attemptTracker.end(targets);
+  reportInstanceOutcome(parts, instance, outcome.kind === 'answered' ? 'served' : 'failed');
   switch (outcome.kind) {
     case 'answered':
       return outcome;
@@ -114,16 +115,16 @@
   }
 }
 
-type Reading = { kind: 'answered'; answer: StoredAnswer } | { kind: 'lost'; reason: string };
+type ReadResult = { kind: 'answered'; answer: StoredAnswer } | { kind: 'lost'; reason: string };
 
-async function readAnswer({ status, headers, body }: ServiceAnswer): Promise<Reading> {
+async function readResponse({ status, headers, body }: ServiceAnswer): Promise<ReadResult> {
   const chunks: Uint8Array[] = [];
   let bytes = 0;
   try {
     for await (const chunk of body as AsyncIterable<Uint8Array>) {
       chunks.push(chunk);
       bytes += chunk.length;
-      if (bytes > MAX_ANSWER_BYTES) return { kind: 'lost', reason: 'the answer is too large' };
+      if (bytes > MAX_RESPONSE_BYTES) return { kind: 'lost', reason: 'the answer is too large' };
     }
   } catch (error) {
     const reason = error instanceof Error ? error.message : 'the answer broke off';
--- a/src/entry/requests/open-requests.ts
+++ b/src/entry/requests/open-requests.ts
@@ -1,34 +1,34 @@
 /**
- * The count of requests that are accepted and not answered, for a stop that cuts off none.
+ * Counts accepted requests without a final response, so that a graceful shutdown can wait for them.
  */
 
 export interface OpenRequests {
   begin(): void;
   end(): void;
   count(): number;
-  /** Resolves at once when there are none, else when the last has ended. */
-  whenNone(): Promise<void>;
+  /** Resolves when no request is open. */
+  whenIdle(): Promise<void>;
 }
 
-/** A count that starts at none. `report` is told each change. */
-export function createOpenRequests(report: (count: number) => void): OpenRequests {
-  const waiting: (() => void)[] = [];
+/** Creates a counter that starts at zero and calls `onChange` on every change. */
+export function createOpenRequests(onChange: (count: number) => void): OpenRequests {
+  const idleCallbacks: (() => void)[] = [];
   let count = 0;
   return {
     begin: () => {
       count += 1;
-      report(count);
+      onChange(count);
     },
     end: () => {
       count -= 1;
-      report(count);
+      onChange(count);
       if (count > 0) return;
-      for (const resolve of waiting.splice(0)) resolve();
+      for (const resolve of idleCallbacks.splice(0)) resolve();
     },
     count: () => count,
-    whenNone: () => {
+    whenIdle: () => {
       if (count === 0) return Promise.resolve();
-      return new Promise((resolve) => waiting.push(resolve));
+      return new Promise((resolve) => idleCallbacks.push(resolve));
     },
   };
 }
--- a/src/entry/requests/pause-detector.ts
+++ b/src/entry/requests/pause-detector.ts
@@ -1,53 +1,51 @@
 /**
- * Notices that the process stood still, and has what it knows read again before it goes on.
+ * Detects that the process was paused and reloads the configuration before requests are sent.
  *
- * The failure guarded against: an entry is frozen while a backend server is taken out of service.
- * It wakes with the list of before, and the requests that waited at its door go to a server that is
- * leaving, or gone. It shows as requests at that server seconds after the mark. Nothing probes plain
- * services, so no lapsed report keeps the entry from them. The check is made when a request is about
- * to be sent: after a pause, requests that waited are handled before any timer.
+ * Prevents an entry that resumes with a stale instance list from sending requests to a backend
+ * server that was removed meanwhile. Plain services are not probed, so health reports don't cover
+ * this. Each request runs the check too, since pending requests may run before the timer.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { EntryContext, Part } from '../types.js';
 
-/** Lets requests wait after a pause. */
-export interface PauseWatch extends Part {
-  /** Resolves at once but for a pause: then when everything was read again, or could not be. */
-  whenCurrent(): Promise<void>;
+/** Delays requests after a pause until the data is reloaded. */
+export interface PauseDetector extends Part {
+  /** Resolves immediately, or after a pause once the reload has succeeded or failed. */
+  whenRefreshed(): Promise<void>;
 }
 
-const TICK_MS = 200;
-/** Silence of the ticks that means a pause; a busy process may be late by less. */
-const PAUSE_MS: Milliseconds = 1_000;
+const CHECK_INTERVAL_MS = 200;
+/** A longer gap between checks counts as a pause; a busy event loop causes shorter delays. */
+const PAUSE_THRESHOLD_MS: Milliseconds = 1_000;
 
-/** A watch that calls `refresh` after each pause; `refresh` never rejects and ends by itself. */
-export function createPauseWatch(
+/** Creates a detector that calls `refresh` after each pause; `refresh` must not hang or reject. */
+export function createPauseDetector(
   { clock }: Pick<EntryContext, 'clock'>,
   refresh: () => Promise<void>,
-): PauseWatch {
+): PauseDetector {
   let timer: NodeJS.Timeout | undefined;
-  let lastTickAt = clock.now();
-  let refreshed = Promise.resolve();
+  let lastCheckAt = clock.now();
+  let lastRefresh = Promise.resolve();
 
-  const notice = (): void => {
+  const detectPause = (): void => {
     const now = clock.now();
-    const gapMs = now - lastTickAt;
-    lastTickAt = now;
-    if (gapMs > PAUSE_MS) refreshed = refresh();
+    const elapsedMs = now - lastCheckAt;
+    lastCheckAt = now;
+    if (elapsedMs > PAUSE_THRESHOLD_MS) lastRefresh = refresh();
   };
 
   return {
-    whenCurrent: () => {
-      notice();
-      return refreshed;
+    whenRefreshed: () => {
+      detectPause();
+      return lastRefresh;
     },
     start: () => {
-      lastTickAt = clock.now();
-      timer = setInterval(notice, TICK_MS);
+      lastCheckAt = clock.now();
+      timer = setInterval(detectPause, CHECK_INTERVAL_MS);
     },
     stop: async () => {
       clearInterval(timer);
-      await refreshed;
+      await lastRefresh;
     },
   };
 }
--- a/src/entry/requests/replica-loss-monitor.ts
+++ b/src/entry/requests/replica-loss-monitor.ts
@@ -1,64 +1,67 @@
 /**
- * Looks at the replicas that are answering requests, and tells when one has lost a member.
+ * Monitors replicas that are serving requests and detects the loss of a member.
  */
 import { findLoss, type ServingReplica } from '../../controllers/health/index.js';
 import type { EntryContext, Part } from '../types.js';
 
-/** What runs at a replica until it is ended. */
-export interface LossWatch extends Part {
-  /** Calls `onLoss` at most once, when `serving` has lost a member. Returns the end of the watch. */
+export interface ReplicaLossMonitor extends Part {
+  /** Calls `onLoss` at most once, if `serving` loses a member. Returns an unsubscribe function. */
   watch(serving: ServingReplica, onLoss: (reason: string) => void): () => void;
 }
 
-const LOOK_EVERY_MS = 100;
-/** A look that comes later than this means that the process stood still. */
-const PAUSED_MS = 500;
+const CHECK_INTERVAL_MS = 100;
+/** A longer gap between two checks means that the process was paused. */
+const PAUSE_THRESHOLD_MS = 500;
 
-interface Watched {
+interface ReplicaWatch {
   serving: ServingReplica;
   onLoss: (reason: string) => void;
 }
 
 /**
- * The watch of one entry.
+ * Creates the monitor of an entry.
  *
- * A process that was paused wakes with reports of long ago, by which every replica would be lost.
- * It shows as a late look; the reports get the time of the freshness bound to come in again.
+ * After a process pause all health reports are stale and every replica would appear lost. Checks
+ * are therefore suspended for the freshness period, so that new reports can arrive.
  */
-export function createLossWatch({ board, clock, settings }: EntryContext): LossWatch {
+export function createReplicaLossMonitor({
+  board,
+  clock,
+  settings,
+}: EntryContext): ReplicaLossMonitor {
   const { freshMs } = settings.health;
-  const watched = new Set<Watched>();
+  const watches = new Set<ReplicaWatch>();
   let timer: NodeJS.Timeout | undefined;
-  let lookedAt = clock.now();
-  let restsUntil = lookedAt;
+  let lastCheckAt = clock.now();
+  let suspendedUntil = lastCheckAt;
 
-  function look(): void {
+  function checkReplicas(): void {
     const now = clock.now();
-    if (now - lookedAt > PAUSED_MS) restsUntil = now + freshMs;
-    lookedAt = now;
-    if (now < restsUntil || watched.size === 0) return;
+    if (now - lastCheckAt > PAUSE_THRESHOLD_MS) suspendedUntil = now + freshMs;
+    lastCheckAt = now;
+    if (now < suspendedUntil || watches.size === 0) return;
     const view = { plans: board.plans.read(), health: board.health.read() };
     const reasons = new Map<string, string | undefined>();
-    for (const one of [...watched]) {
-      const { serving, onLoss } = one;
+    for (const watch of [...watches]) {
+      const { serving, onLoss } = watch;
       const key = `${serving.replica}/${serving.fence}`;
-      if (!reasons.has(key)) reasons.set(key, describe(findLoss(view, serving, now, freshMs)));
+      if (!reasons.has(key)) reasons.set(key, describeLoss(findLoss(view, serving, now, freshMs)));
       const reason = reasons.get(key);
       if (reason === undefined) continue;
-      watched.delete(one);
+      watches.delete(watch);
       onLoss(reason);
     }
   }
 
   return {
     watch: (serving, onLoss) => {
-      const one = { serving, onLoss };
-      watched.add(one);
-      return () => watched.delete(one);
+      const watch = { serving, onLoss };
+      watches.add(watch);
+      return () => watches.delete(watch);
     },
     start: () => {
-      lookedAt = clock.now();
-      timer = setInterval(look, LOOK_EVERY_MS);
+      lastCheckAt = clock.now();
+      timer = setInterval(checkReplicas, CHECK_INTERVAL_MS);
     },
     stop: () => {
       clearInterval(timer);
@@ -67,7 +70,7 @@
   };
 }
 
-function describe(loss: ReturnType<typeof findLoss>): string | undefined {
+function describeLoss(loss: ReturnType<typeof findLoss>): string | undefined {
   if (loss === undefined) return undefined;
   if (loss.kind === 'phase') return 'the replica was taken apart';
   return `the replica has lost ${loss.member}: ${loss.kind}`;
--- a/src/entry/requests/request-log.ts
+++ b/src/entry/requests/request-log.ts
@@ -1,24 +1,24 @@
 /**
- * What the log says of single requests: those that got no whole answer and those that were sent
- * again. Requests that go well are left to the metrics.
+ * Logs requests that failed and requests that were retried. Successful requests only appear in the
+ * metrics.
  */
 import type { RequestHead } from '../../adapters/callers/index.js';
 import type { AttemptEnd, RetryDecision } from '../../controllers/retries/types.js';
 import { concludeFailure, type Failure } from '../../core/errors/index.js';
 import type { LogEventName, Logger, LogValues } from '../../core/logger/index.js';
 
-/** Logs a request that ended without a whole answer. */
+/** Logs a request that ended without a complete response. */
 export function logFailedRequest(logger: Logger, request: RequestHead, failure: Failure): void {
   const { kind, message } = failure;
-  logger.log(nameEnd(failure), { ...describeRequest(request), kind, reason: message });
+  logger.log(selectEventName(failure), { ...describeRequest(request), kind, reason: message });
 }
 
-/** Logs a request that the entry itself cut off at the end of its stop. */
-export function logCutRequest(logger: Logger, request: RequestHead): void {
+/** Logs a request that the entry aborted when its shutdown grace period ended. */
+export function logRequestCutByStop(logger: Logger, request: RequestHead): void {
   logger.log('requestCutByStop', describeRequest(request));
 }
 
-/** Logs that a request is sent again, and how the attempt before had ended. */
+/** Logs a retry and how the previous attempt ended. */
 export function logRetry(
   logger: Logger,
   request: RequestHead,
@@ -33,7 +33,7 @@
   }
 }
 
-function nameEnd(failure: Failure): LogEventName {
+function selectEventName(failure: Failure): LogEventName {
   if (failure.kind === 'callerGone') return 'requestAbandoned';
   switch (concludeFailure(failure)) {
     case 'notRun':
--- a/src/entry/requests/service-calls.ts
+++ b/src/entry/requests/service-calls.ts
@@ -1,5 +1,5 @@
 /**
- * Runs calls to plain services that need no record: repeatable ones and those sent a single time.
+ * Runs calls to plain services. Calls that may run only once are passed to `runOnceCall`.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { ok, type Result } from 'neverthrow';
@@ -16,16 +16,16 @@
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import type { Service } from '../../objects/index.js';
 import { createDeadline, type Deadline } from './deadline.js';
-import { chooseServiceInstance, reportInstance } from './service-instances.js';
+import { chooseServiceInstance, reportInstanceOutcome } from './service-instances.js';
 import { runOnceCall } from './once-calls.js';
 import { logRetry } from './request-log.js';
-import { composeRequest, createNoCapacity } from './service-request.js';
+import { buildServiceRequest, createNoCapacityFailure } from './service-request.js';
 import type { RequestParts } from './types.js';
 
-/** Bodies up to this size are held, so that a call can be sent again; larger ones are streamed. */
-const MAX_HELD_BYTES = 65_536;
+/** Bodies up to this size are buffered so that calls can be retried; larger ones are streamed. */
+const MAX_BUFFERED_BYTES = 65_536;
 
-/** One call under way. */
+/** State of a call in progress. */
 interface CallRun {
   parts: RequestParts;
   call: ServiceCall;
@@ -33,19 +33,19 @@
   service: Service;
   handling: CallHandling;
   body: ServiceRequest['body'];
-  /** For the beginning of the answer. */
-  deadlineAt: Milliseconds;
+  /** Deadline for the start of the response. */
+  responseStartDeadlineAt: Milliseconds;
   deadline: Deadline;
-  /** Aborted when the caller is gone or the deadline has passed. */
+  /** Aborted when the caller disconnects or the deadline passes. */
   signal: AbortSignal;
   attempts: number;
   mayHaveRun: boolean;
 }
 
-/** How one attempt ended: with an answer for the caller, or as the retry decision needs it. */
-type CallEnd = { kind: 'answered' } | { kind: 'givenUp'; failure: Failure } | AttemptEnd;
+/** Result of an attempt: answered, given up without a retry, or failed and possibly retried. */
+type AttemptResult = { kind: 'answered' } | { kind: 'givenUp'; failure: Failure } | AttemptEnd;
 
-/** Serves one call of a plain service. The failure to answer with when the caller got nothing. */
+/** Serves a call to a plain service. Returns a failure if it did not complete. */
 export async function runServiceCall(
   parts: RequestParts,
   call: ServiceCall,
@@ -54,15 +54,15 @@
   const { workspace } = call.caller;
   const resolved = resolveCall(parts, call);
   if (resolved.isErr()) return resolved.error;
-  const asked = { workspace, tokens: 0 };
-  parts.inFlight.recordAsked(workspace, 0);
-  const admission = parts.admission.admit(asked);
+  const admissionRequest = { workspace, tokens: 0 };
+  parts.attemptTracker.recordDemand(workspace, 0);
+  const admission = parts.admission.admit(admissionRequest);
   const failure =
     admission.kind === 'refused'
       ? admission.failure
       : await runAdmitted(parts, call, output, resolved.value);
-  if (admission.kind === 'admitted') parts.admission.release(asked, 0);
-  parts.inFlight.recordAnswered(workspace);
+  if (admission.kind === 'admitted') parts.admission.release(admissionRequest, 0);
+  parts.attemptTracker.recordFinished(workspace);
   return failure;
 }
 
@@ -93,12 +93,12 @@
   const failure =
     handling === 'once'
       ? await runOnceCall(parts, call, service, output)
-      : await runPlainCall(parts, call, output, service, handling);
+      : await runRetryableCall(parts, call, output, service, handling);
   timings.whole(clock.now() - startedAt);
   return failure;
 }
 
-async function runPlainCall(
+async function runRetryableCall(
   parts: RequestParts,
   call: ServiceCall,
   output: ServiceOutput,
@@ -117,7 +117,7 @@
     service,
     handling,
     body: body.value,
-    deadlineAt,
+    responseStartDeadlineAt: deadlineAt,
     deadline,
     signal: AbortSignal.any([call.signal, deadline.signal]),
     attempts: 0,
@@ -131,20 +131,20 @@
 async function prepareBody(call: ServiceCall): Promise<Result<ServiceRequest['body'], Failure>> {
   const { body } = call;
   if (!body) return ok(undefined);
-  if (body.bytes === undefined || body.bytes > MAX_HELD_BYTES) return ok(body.stream);
-  return body.readWhole(MAX_HELD_BYTES);
+  if (body.bytes === undefined || body.bytes > MAX_BUFFERED_BYTES) return ok(body.stream);
+  return body.readWhole(MAX_BUFFERED_BYTES);
 }
 
 async function runAttempts(run: CallRun): Promise<Failure | undefined> {
   let excluded: readonly string[] = [];
   for (;;) {
-    await run.parts.pauses.whenCurrent();
-    if (run.signal.aborted) return explainGiveUp(run, run.mayHaveRun);
+    await run.parts.pauseDetector.whenRefreshed();
+    if (run.signal.aborted) return createAbortFailure(run, run.mayHaveRun);
     const instance = chooseServiceInstance(run.parts, run.service, excluded);
-    if (!instance) return createNoCapacity(run.call.service);
+    if (!instance) return createNoCapacityFailure(run.call.service);
     run.attempts += 1;
-    if (run.attempts === 1) recordFirst(run, instance.instance);
-    const end = await attempt(run, instance.instance, instance.address);
+    if (run.attempts === 1) recordFirstAttempt(run, instance.instance);
+    const end = await runAttempt(run, instance.instance, instance.address);
     switch (end.kind) {
       case 'answered':
         return undefined;
@@ -153,7 +153,7 @@
       default:
     }
     run.mayHaveRun ||= end.kind !== 'notSent' && end.kind !== 'refused';
-    const decision = run.parts.retries.decide(describeEnd(run, end, instance.instance));
+    const decision = run.parts.retries.decide(createRetryQuestion(run, end, instance.instance));
     if (decision.kind === 'answer') return decision.failure;
     run.parts.metrics.countRetry();
     logRetry(run.parts.context.logger, run.call, decision, end);
@@ -162,55 +162,57 @@
   }
 }
 
-function recordFirst({ parts, call }: CallRun, instance: string): void {
-  parts.retries.recordFirst(instance, call.caller.workspace);
+function recordFirstAttempt({ parts, call }: CallRun, instance: string): void {
+  parts.retries.recordFirstAttempt(instance, call.caller.workspace);
 }
 
-async function attempt(run: CallRun, instance: string, address: string): Promise<CallEnd> {
+async function runAttempt(run: CallRun, instance: string, address: string): Promise<AttemptResult> {
   const { parts, call, service, body, signal } = run;
   const targets = [instance];
-  parts.inFlight.begin(targets);
+  parts.attemptTracker.begin(targets);
   const start = await parts.services.call(
     address,
-    composeRequest(call, body, service, run.handling === 'repeatable'),
+    buildServiceRequest(call, body, service, run.handling === 'repeatable'),
     signal,
   );
-  const end = start.kind === 'started' ? await relay(run, instance, start.answer) : start;
-  parts.inFlight.end(targets);
+  const end = start.kind === 'started' ? await relayResponse(run, instance, start.answer) : start;
+  parts.attemptTracker.end(targets);
   if (end.kind === 'answered' || end.kind === 'givenUp') return end;
   if (signal.aborted) {
-    const begun = run.mayHaveRun || end.kind !== 'notSent';
-    return { kind: 'givenUp', failure: explainGiveUp(run, begun) };
+    const mayHaveRun = run.mayHaveRun || end.kind !== 'notSent';
+    return { kind: 'givenUp', failure: createAbortFailure(run, mayHaveRun) };
   }
-  reportInstance(parts, instance, 'failed');
+  reportInstanceOutcome(parts, instance, 'failed');
   return end;
 }
 
-async function relay(
+async function relayResponse(
   run: CallRun,
   instance: string,
   answer: Parameters<ServiceOutput['relay']>[0],
-): Promise<CallEnd> {
-  // A large answer may take longer than its beginning was waited for.
-  run.deadline.moveTo(run.call.caller.deadlineAt);
+): Promise<AttemptResult> {
+  // The service timeout covers the start of the response; the body has until the caller's deadline.
+  run.deadline.reschedule(run.call.caller.deadlineAt);
   const end = await run.output.relay(answer);
   switch (end) {
     case 'whole':
-      reportInstance(run.parts, instance, 'served');
+      reportInstanceOutcome(run.parts, instance, 'served');
       return { kind: 'answered' };
     case 'callerGone':
       return { kind: 'givenUp', failure: createFailure('callerGone') };
     case 'cut':
-      if (!run.signal.aborted) reportInstance(run.parts, instance, 'failed');
-      // The caller's connection is closed by now; nothing can be sent again on it.
+      if (!run.signal.aborted) reportInstanceOutcome(run.parts, instance, 'failed');
+      // The caller's connection is already closed, so a retry could not be delivered.
       return {
         kind: 'givenUp',
-        failure: createFailure('answerCut', { reason: 'the backend server broke off' }),
+        failure: createFailure('answerCut', {
+          reason: 'the backend server broke off',
+        }),
       };
   }
 }
 
-function describeEnd(
+function createRetryQuestion(
   run: CallRun,
   end: AttemptEnd,
   target: string,
@@ -219,21 +221,21 @@
     end,
     target,
     workspace: run.call.caller.workspace,
-    repeatable: run.handling === 'repeatable' && canSendAgain(run),
+    repeatable: run.handling === 'repeatable' && isBodyReplayable(run),
     resumable: false,
     attempts: run.attempts,
-    deadlineAt: run.deadlineAt,
+    deadlineAt: run.responseStartDeadlineAt,
     mayHaveRun: run.mayHaveRun,
   };
 }
 
-/** A streamed body is gone once it has been read from. */
-function canSendAgain({ body, call }: CallRun): boolean {
+/** A streamed body can't be sent again once it has been read from. */
+function isBodyReplayable({ body, call }: CallRun): boolean {
   return body === undefined || body instanceof Uint8Array || !call.body?.stream.readableDidRead;
 }
 
-/** What the caller is told when it left or its deadline passed. */
-function explainGiveUp({ call }: CallRun, begun: boolean): Failure {
+/** Failure for a call whose caller disconnected or whose deadline passed. */
+function createAbortFailure({ call }: CallRun, mayHaveRun: boolean): Failure {
   if (call.signal.aborted) return createFailure('callerGone');
-  return createFailure(begun ? 'deadlineAfterStart' : 'deadlineBeforeStart');
+  return createFailure(mayHaveRun ? 'deadlineAfterStart' : 'deadlineBeforeStart');
 }
--- a/src/entry/requests/service-instances.ts
+++ b/src/entry/requests/service-instances.ts
@@ -1,5 +1,5 @@
 /**
- * The choice of an instance of a plain service, with what this entry knows.
+ * Selects an instance for a call to a plain service.
  */
 import type { Health } from '../../board/index.js';
 import { listServiceInstances } from '../../controllers/health/index.js';
@@ -11,11 +11,11 @@
 import type { Service } from '../../objects/index.js';
 import type { RequestParts } from './types.js';
 
-const NO_HEALTH: Health = new Map();
+const EMPTY_HEALTH: Health = new Map();
 
-/** The instance to send a call to now, if there is any. */
+/** Returns the instance to send a call to, if one is available. */
 export function chooseServiceInstance(
-  { context, dispatcher, inFlight }: RequestParts,
+  { context, dispatcher, attemptTracker }: RequestParts,
   service: Service,
   excluded: readonly string[],
 ): InstanceCandidate | undefined {
@@ -23,19 +23,27 @@
   const now = clock.now();
   const view = { fleet: board.fleet.read(), health: board.health.read() };
   const { freshMs } = settings.health;
-  const sound = listServiceInstances(view, service, now, freshMs);
-  // One call that every instance fails would otherwise take the service from everybody. When all
-  // have failed lately, the dispatcher's own record of failures in a row says whom to avoid.
+  const healthy = listServiceInstances(view, service, now, freshMs);
+  // A call that fails on every instance must not make the service unavailable to all callers. When
+  // no instance is healthy, health is ignored; the dispatcher still avoids consecutive failures.
   const candidates =
-    sound.length > 0
-      ? sound
-      : listServiceInstances({ ...view, health: NO_HEALTH }, service, now, freshMs);
-  const here = { region: identity.region, failureDomain: identity.failureDomain };
-  return chooseInstance(dispatcher.state, candidates, inFlight.counts, here, excluded, now, random);
+    healthy.length > 0
+      ? healthy
+      : listServiceInstances({ ...view, health: EMPTY_HEALTH }, service, now, freshMs);
+  const location = { region: identity.region, failureDomain: identity.failureDomain };
+  return chooseInstance(
+    dispatcher.state,
+    candidates,
+    attemptTracker.counts,
+    location,
+    excluded,
+    now,
+    random,
+  );
 }
 
-/** Tells the parts that choose instances how a call at `instance` ended. */
-export function reportInstance(
+/** Reports the outcome of a call at `instance` to the dispatcher and the health part. */
+export function reportInstanceOutcome(
   { context, dispatcher, health }: RequestParts,
   instance: string,
   outcome: 'served' | 'failed',
--- a/src/entry/requests/service-request.ts
+++ b/src/entry/requests/service-request.ts
@@ -1,15 +1,15 @@
 /**
- * What calls to plain services have in common, whatever their handling.
+ * Builds requests and failures for calls to plain services.
  */
 import type { ServiceCall } from '../../adapters/callers/index.js';
 import type { ServiceRequest } from '../../adapters/services/index.js';
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import type { Service } from '../../objects/index.js';
 
-const NO_CAPACITY_RETRY_MS = 1_000;
+const NO_CAPACITY_RETRY_AFTER_MS = 1_000;
 
-/** The call as it goes to the backend server; `body` is the caller's, whole or as it comes. */
-export function composeRequest(
+/** Builds the request for the backend server; `body` is either buffered or streamed. */
+export function buildServiceRequest(
   call: ServiceCall,
   body: ServiceRequest['body'],
   service: Service,
@@ -18,20 +18,20 @@
   return {
     method: call.method,
     path: `${call.path}${call.query}`,
-    headers: listSentHeaders(call, body),
+    headers: buildRequestHeaders(call, body),
     body,
     repeatable,
     timeoutMs: service.timeoutMs,
   };
 }
 
-/** The caller's fields and this entry's own. */
-function listSentHeaders(
+/** Combines the caller's headers with those that the entry adds. */
+function buildRequestHeaders(
   call: ServiceCall,
   body: ServiceRequest['body'],
 ): ServiceRequest['headers'] {
   const isStream = body !== undefined && !(body instanceof Uint8Array);
-  // undici counts the bytes that it holds; a declared length is kept for a stream alone.
+  // undici sets the length of buffered bodies itself; a stream needs the declared length.
   const fields = call.headers.filter(
     ({ name }) => isStream || name.toLowerCase() !== 'content-length',
   );
@@ -42,7 +42,7 @@
   ];
 }
 
-/** No instance of the service may be sent calls. */
-export function createNoCapacity(service: string): Failure {
-  return createFailure('noCapacity', { name: service }, NO_CAPACITY_RETRY_MS);
+/** Failure for a service without an available instance. */
+export function createNoCapacityFailure(service: string): Failure {
+  return createFailure('noCapacity', { name: service }, NO_CAPACITY_RETRY_AFTER_MS);
 }
--- a/src/entry/requests/types.ts
+++ b/src/entry/requests/types.ts
@@ -1,5 +1,5 @@
 /**
- * What the request path is put together from, and what it offers to the rest of the entry.
+ * Types of the request path: its dependencies, its shared components and its public interface.
  */
 import type { RequestPath } from '../../adapters/callers/index.js';
 import type { Services } from '../../adapters/services/index.js';
@@ -10,45 +10,45 @@
 import type { EntryContext, Part } from '../types.js';
 import type { Dispatcher } from './dispatcher.js';
 import type { AdmissionGate, RetryGate } from './gates.js';
-import type { InFlight } from './attempt-tracker.js';
-import type { LossWatch } from './replica-loss-monitor.js';
+import type { AttemptTracker } from './attempt-tracker.js';
+import type { ReplicaLossMonitor } from './replica-loss-monitor.js';
 import type { OpenRequests } from './open-requests.js';
-import type { PauseWatch } from './pause-detector.js';
+import type { PauseDetector } from './pause-detector.js';
 
-/** What the request path needs of other parts. */
+/** Dependencies of the request path on other parts of the entry. */
 export interface RequestDependencies {
   services: Services;
   onceCalls: OnceCalls;
   eligible: EligibleReplicas;
   health: Pick<HealthPart, 'reportFailure' | 'reportAnswer'>;
   metrics: Metrics;
-  /** Whether the entry has been ready for callers since its start, even if it is not now. */
+  /** Whether the entry has been ready for callers at any time since it started. */
   hasBeenReady: () => boolean;
-  /** Reads configuration and the list of instances again, after the process stood still. */
+  /** Reloads the configuration and the list of instances after the process was paused. */
   refresh?: () => Promise<void>;
 }
 
-/** What each request is served with. */
+/** Components that all requests share. */
 export interface RequestParts extends RequestDependencies {
   context: EntryContext;
   dispatcher: Dispatcher;
-  inFlight: InFlight;
-  losses: LossWatch;
-  pauses: PauseWatch;
+  attemptTracker: AttemptTracker;
+  lossMonitor: ReplicaLossMonitor;
+  pauseDetector: PauseDetector;
   admission: AdmissionGate;
   retries: RetryGate;
-  open: OpenRequests;
+  openRequests: OpenRequests;
 }
 
 /** The request path of one entry. */
 export interface Requests extends Part {
-  /** For the callers' listener. */
+  /** Request handlers for the callers' listener. */
   path: RequestPath;
-  /** From now on new requests are refused with `stopping`; those accepted go on. */
+  /** Refuses new requests with `stopping`; accepted requests continue. */
   beginStopping(): void;
   isStopping(): boolean;
-  /** The grace of the stop is over: what ends from now on ends because the entry cuts it off. */
+  /** Marks the shutdown grace period as over: requests aborted after this were cut by the entry. */
   noteCut(): void;
-  /** Resolves when no accepted request is left; new ones may still come before `beginStopping`. */
+  /** Resolves when no request is open; new ones may still arrive before `beginStopping`. */
   whenIdle(): Promise<void>;
 }
