--- a/src/entry/limits/create-limits.ts
+++ b/src/entry/limits/create-limits.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps this entry's share of the workspaces' limits on the board.
+ * Maintains this entry's share of the workspace limits on the board.
  */
 import {
   createShareState,
@@ -18,40 +18,43 @@
 import { parseJson } from '../../core/json/index.js';
 import type { EntryContext, Part } from '../types.js';
 
-/** The limits part, and what the exchange of digests needs of it. */
+/** The limits part of an entry, with the functions that the digest exchange calls. */
 export interface Limits extends Part {
-  /** JSON text for the next round of digests; `undefined` when there is nothing to tell. */
+  /** Returns the JSON text for the next digest, or `undefined` if there is nothing to send. */
   exportDigest(): string | undefined;
-  /** Takes in what the entry `from` told; text that is not valid is ignored. */
+  /** Applies the digest of the entry `from`; invalid text is ignored. */
   importDigest(from: string, text: string): void;
 }
 
 /**
- * The limits part of an entry.
+ * Creates the limits part of an entry.
  *
- * `platformAt` says when this entry itself last reached the platform.
+ * `platformConfirmedAt` returns when this entry itself last reached the platform.
  *
  * @example const limits = createLimits(context, () => configuration.platformAt()); limits.start();
  */
-export function createLimits(context: EntryContext, platformAt: () => Milliseconds): Limits {
+export function createLimits(
+  context: EntryContext,
+  platformConfirmedAt: () => Milliseconds,
+): Limits {
   const { board, clock, identity, settings, writers } = context;
   const { splitEveryMs, ...options } = settings.limits;
   const state = createShareState(identity.name, identity.incarnation, options, clock.now());
   let timer: NodeJS.Timeout | undefined;
   let unsubscribe: (() => void) | undefined;
 
-  const split = (): void => {
+  const updateShares = (): void => {
     const now = clock.now();
-    const workspaces = listWorkspaces(context);
-    observeEntries(state, listNews(context, platformAt()), now);
+    const workspaces = listWorkspaceLimits(context);
+    observeEntries(state, getEntryListStatus(context, platformConfirmedAt()), now);
     observeDemands(state, workspaces, board.attempts.read().demands, listPeerDemands(context));
     writers.limits.write(splitShares(state, workspaces, now));
   };
   return {
     exportDigest: () => {
       const digest = exportLimitDigest(state, clock.now());
-      // What was lent must be off the board before the borrower can hear of it.
-      split();
+      // Remove lent shares from the board before the borrower can receive the digest.
+      updateShares();
       return digest && JSON.stringify(digest);
     },
     importDigest: (from, text) => {
@@ -59,9 +62,9 @@
       if (digest.success) importLimitDigest(state, from, digest.data, clock.now());
     },
     start: () => {
-      timer = setInterval(split, splitEveryMs);
-      unsubscribe = board.configuration.subscribe(split);
-      split();
+      timer = setInterval(updateShares, splitEveryMs);
+      unsubscribe = board.configuration.subscribe(updateShares);
+      updateShares();
     },
     stop: () => {
       clearInterval(timer);
@@ -71,19 +74,22 @@
   };
 }
 
-function listWorkspaces({ board }: EntryContext): LimitedWorkspace[] {
+function listWorkspaceLimits({ board }: EntryContext): LimitedWorkspace[] {
   const { workspaces } = board.configuration.read();
   return [...workspaces].map(([name, { value }]) => ({ name, limits: value.limits }));
 }
 
-function listNews({ board, identity, settings }: EntryContext, platformAt: Milliseconds): ListNews {
+function getEntryListStatus(
+  { board, identity, settings }: EntryContext,
+  platformConfirmedAt: Milliseconds,
+): ListNews {
   const { instances, revision } = board.fleet.read();
   const { watchMs, timeoutMs } = settings.platform;
   return {
     self: identity.name,
     listed: [...instances].filter(([, { role }]) => role === 'entry').map(([name]) => name),
     revision,
-    platformAt,
+    platformAt: platformConfirmedAt,
     peers: [...board.peers.read().values()],
     contactMs: listWatchMs(settings.limits.viewFreshMs, watchMs) + timeoutMs,
   };
