--- a/src/entry/requests/service-calls.ts
+++ b/src/entry/requests/service-calls.ts
@@ -93,12 +93,12 @@
   const failure =
     handling === 'once'
       ? await runOnceCall(parts, call, service, output)
-      : await runRetryableCall(parts, call, output, service, handling);
+      : await runCallWithRetries(parts, call, output, service, handling);
   timings.whole(clock.now() - startedAt);
   return failure;
 }
 
-async function runRetryableCall(
+async function runCallWithRetries(
   parts: RequestParts,
   call: ServiceCall,
   output: ServiceOutput,
