--- a/src/entry/health/health-passing.ts
+++ b/src/entry/health/health-passing.ts
@@ -99,7 +99,7 @@
       return JSON.stringify(composeHealthDigest(source, clock.now()));
     },
     import: importText,
-    onNews: (listener) => {
+    onUrgentChange: (listener) => {
       listeners.add(listener);
       return () => listeners.delete(listener);
     },
--- a/src/entry/membership/create-membership.ts
+++ b/src/entry/membership/create-membership.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps this entry's view of the fleet and of the other entries, by rounds of digests.
+ * Maintains this entry's view of the fleet and of the other entries by gossiping digests.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { PeerClient } from '../../adapters/peers/index.js';
@@ -20,18 +20,18 @@
 import type { ConfigurationPart } from '../configuration/index.js';
 import type { EntryContext } from '../types.js';
 import { createFleetWriter } from './fleet-writer.js';
-import { createRounds } from './rounds.js';
+import { createGossipRounds } from './rounds.js';
 import { createSelfDigest } from './self-digest.js';
 import type { MembershipOptions, MembershipPart } from './types.js';
 
-/** How long a starting entry waits for a ready peer when the platform has answered. */
+/** How long a starting entry waits for a ready peer once the platform has answered. */
 const STARTUP_PEER_WAIT_MS = 3_000;
-/** Digests are kept for several times the time after which an entry counts as gone. */
-const FORGET_FACTOR = 6;
-const HANDED_OVER_CHECK_MS = 20;
+/** Multiple of `forgetMs` for which the digests of silent entries are kept. */
+const DIGEST_RETENTION_FACTOR = 6;
+const HAND_OVER_POLL_MS = 20;
 
 /**
- * The membership part of an entry. Start it after `configuration`.
+ * Creates the membership part of an entry. Start it after `configuration`.
  *
  * @example
  * const membership = createMembership(context, configuration, peers);
@@ -46,7 +46,7 @@
   const { board, clock, identity, logger, random, settings, writers } = context;
   const { forgetMs } = settings.membership;
   const startedAt = clock.now();
-  let peerAt = Number.NEGATIVE_INFINITY;
+  let lastPeerContactAt = Number.NEGATIVE_INFINITY;
   let caughtUp = false;
   const fleet = createFleetWriter(context, configuration);
 
@@ -56,7 +56,7 @@
       {
         startedAt,
         platformAt: configuration.platformAt(),
-        peerAt,
+        peerAt: lastPeerContactAt,
         caughtUp,
         hasPeers: hasPeers(),
         revision: configuration.revision(),
@@ -79,16 +79,16 @@
     for (const name of before.keys())
       if (!after.has(name)) logger.log('peerSilent', { peer: name });
   };
-  const learn = (receipt: Receipt): void => {
+  const processReceipt = (receipt: Receipt): void => {
     const now = clock.now();
-    peerAt = now;
+    lastPeerContactAt = now;
     for (const record of receipt.updated) self.import(record, now);
     const live = listLive(state, forgetMs, now);
     const revision = configuration.revision();
     const needsPeer = !caughtUp && configuration.needsPeer();
     const newest = configuration.newest();
-    const question = { live, revision, newest, needsPeer, heard: receipt.from };
-    const source = choosePullSource(question, random);
+    const pullQuery = { live, revision, newest, needsPeer, heard: receipt.from };
+    const source = choosePullSource(pullQuery, random);
     if (source === undefined) configuration.confirm();
     else configuration.pull(source.content.peerAddress);
     caughtUp ||= !needsPeer && hasCaughtUp(live, revision, newest);
@@ -96,21 +96,21 @@
   };
   const receive = (message: DigestMessage): Receipt => {
     const receipt = receiveMessage(state, message, clock.now());
-    learn(receipt);
+    processReceipt(receipt);
     return receipt;
   };
-  const rounds = createRounds(context, { peers, self, receive });
+  const rounds = createGossipRounds(context, { peers, self, receive });
 
-  const tend = (): void => {
+  const runMaintenance = (): void => {
     const now = clock.now();
-    forgetPeers(state, now - forgetMs * FORGET_FACTOR);
+    forgetPeers(state, now - forgetMs * DIGEST_RETENTION_FACTOR);
     publishPeers();
     fleet.update();
-    const place = { name: identity.name, failureDomain: identity.failureDomain };
+    const location = { name: identity.name, failureDomain: identity.failureDomain };
     const live = listLive(state, forgetMs, now);
-    configuration.setWatching(shouldWatch({ self: place, peers: live, forgetMs }, now));
-    const heardAt = Math.max(peerAt, configuration.platformAt());
-    if (shouldProbePlatform(heardAt, forgetMs, now)) configuration.probe();
+    configuration.setWatching(shouldWatch({ self: location, peers: live, forgetMs }, now));
+    const lastContactAt = Math.max(lastPeerContactAt, configuration.platformAt());
+    if (shouldProbePlatform(lastContactAt, forgetMs, now)) configuration.probe();
   };
   const unsubscribes: (() => void)[] = [];
 
@@ -118,32 +118,32 @@
     handlers: {
       exchange: (message) => {
         const { from } = receive(message);
-        return rounds.composeAnswer(from);
+        return rounds.composeReply(from);
       },
       changesSince: (since) => configuration.changesSince(since),
     },
     countSent: (bytes) => {
-      rounds.spend(bytes);
+      rounds.countSentBytes(bytes);
     },
     readiness,
     summaries: () => [...state.summaries.values()],
     departed: () => listDeparted(state, forgetMs, clock.now()),
     markLeaving: (instance, version) => {
-      fleet.adopt([{ instance, version }]);
+      fleet.mergeMarks([{ instance, version }]);
     },
     announceStopping: () => {
       self.announceStopping();
-      rounds.nudge();
+      rounds.requestRound();
     },
     whenHandedOver: async (timeoutMs) => {
-      // The last digest has to carry the last counts: others wait for them.
+      // Peers wait for the final counts of requests in flight, which the last digest carries.
       self.advance();
-      rounds.nudge();
+      rounds.requestRound();
       const { change } = state.self;
-      const endAt = clock.now() + timeoutMs;
+      const deadlineAt = clock.now() + timeoutMs;
       while (!isOwnChangeKnown(state, change, forgetMs, clock.now())) {
-        if (clock.now() >= endAt) return false;
-        await sleep(HANDED_OVER_CHECK_MS);
+        if (clock.now() >= deadlineAt) return false;
+        await sleep(HAND_OVER_POLL_MS);
       }
       return true;
     },
@@ -155,16 +155,16 @@
       );
       unsubscribes.push(
         board.health.subscribe(() => {
-          fleet.updateSoon();
+          fleet.scheduleUpdate();
         }),
       );
       unsubscribes.push(
-        self.onNews(() => {
-          rounds.nudge();
+        self.onUrgentChange(() => {
+          rounds.requestRound();
         }),
       );
       fleet.update();
-      rounds.start(tend);
+      rounds.start(runMaintenance);
     },
     stop: async () => {
       for (const unsubscribe of unsubscribes.splice(0)) unsubscribe();
--- a/src/entry/membership/fleet-writer.ts
+++ b/src/entry/membership/fleet-writer.ts
@@ -1,5 +1,6 @@
 /**
- * Writes the `fleet` section from the platform's list, the engines' reports and peers' marks.
+ * Writes the `fleet` section from the platform's instance list, engine reports and the leaving
+ * marks of peers.
  */
 import {
   adoptMarks,
@@ -12,29 +13,29 @@
 import type { ConfigurationPart } from '../configuration/index.js';
 import type { EntryContext } from '../types.js';
 
-/** The one writer of the `fleet` section. */
+/** The only writer of the `fleet` section. */
 export interface FleetWriter {
-  /** Looks at the list and the reports again; writes only what changed. */
+  /** Recomputes the section and writes it if the instances or the leaving ones changed. */
   update(): void;
-  /** The same, once for all the reports of a short while. */
-  updateSoon(): void;
-  /** Takes over the marks of a peer. */
-  adopt(offered: readonly LeavingMark[]): void;
-  /** The marks that hold, for the digest. */
-  marks(): LeavingMark[];
+  /** Updates after a short delay, once for all reports that arrive until then. */
+  scheduleUpdate(): void;
+  /** Merges leaving marks received from a peer or set by an operator. */
+  mergeMarks(offered: readonly LeavingMark[]): void;
+  /** The leaving marks in effect, for the digest. */
+  currentMarks(): LeavingMark[];
   stop(): void;
 }
 
-/** Reports come by the thousand a second in a large fleet; a look at all instances is dear. */
-const UPDATE_PAUSE_MS = 100;
+/** Batches reports: a large fleet sends thousands a second, and each update visits all instances. */
+const UPDATE_DELAY_MS = 100;
 
-/** A writer that starts without marks. */
+/** Creates a writer without leaving marks. */
 export function createFleetWriter(
   { board, clock, logger, writers }: EntryContext,
   configuration: Pick<ConfigurationPart, 'instances'>,
 ): FleetWriter {
   let marks: LeavingMarks = new Map();
-  let listVersion = -1;
+  let writtenListVersion = -1;
   let timer: NodeJS.Timeout | undefined;
 
   const update = (): void => {
@@ -45,8 +46,8 @@
     const hasSameLeaving =
       before.leaving.size === after.leaving.size &&
       [...after.leaving].every((name) => before.leaving.has(name));
-    if (hasSameLeaving && listVersion === instances.version()) return;
-    listVersion = instances.version();
+    if (hasSameLeaving && writtenListVersion === instances.version()) return;
+    writtenListVersion = instances.version();
     for (const name of after.leaving) {
       if (!before.leaving.has(name)) logger.log('instanceLeaving', { instance: name });
     }
@@ -55,20 +56,20 @@
 
   return {
     update,
-    updateSoon: () => {
+    scheduleUpdate: () => {
       timer ??= setTimeout(() => {
         timer = undefined;
         update();
-      }, UPDATE_PAUSE_MS);
+      }, UPDATE_DELAY_MS);
     },
     stop: () => {
       clearTimeout(timer);
     },
-    adopt: (offered) => {
+    mergeMarks: (peerMarks) => {
       const before = marks;
-      marks = adoptMarks(marks, offered, clock.now());
+      marks = adoptMarks(marks, peerMarks, clock.now());
       if (marks !== before) update();
     },
-    marks: () => listMarks(marks),
+    currentMarks: () => listMarks(marks),
   };
 }
--- a/src/entry/membership/rounds.ts
+++ b/src/entry/membership/rounds.ts
@@ -1,5 +1,5 @@
 /**
- * The loop that sends digests: a round at every interval, and at once when there is news.
+ * The gossip loop: sends digests at a regular interval, and sooner after an urgent change.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { PeerClient } from '../../adapters/peers/index.js';
@@ -21,45 +21,49 @@
 import type { EntryContext } from '../types.js';
 import type { SelfDigest } from './self-digest.js';
 
-/** Of a message before it is deflated. */
+/** Maximum size of a message before compression. */
 const MESSAGE_BUDGET_BYTES = 3_000;
-/** Heartbeats are passed on this often, as a part of the time after which an entry is forgotten. */
-const HEARTBEAT_GAP = 0.05;
-/** What one exchange is reckoned to take; what it took is counted. */
-const EXCHANGE_BYTES = 500;
-/** News waits this long for more of it. */
-const NEWS_PAUSE_MS = 20;
-/** Rounds are spread by this part of their interval, so that entries don't fall into step. */
-const JITTER = 0.2;
+/** Interval between relayed heartbeats, as a fraction of `forgetMs`. */
+const HEARTBEAT_INTERVAL_RATIO = 0.05;
+/** Assumed size of one exchange in planning; the budget is charged the actual bytes. */
+const ESTIMATED_EXCHANGE_BYTES = 500;
+/** Delay before an urgent round, so that it carries all changes made in quick succession. */
+const URGENT_ROUND_DELAY_MS = 20;
+/** Random variation of the round interval, as a fraction, so that entries don't synchronize. */
+const JITTER_RATIO = 0.2;
 
-/** What the rounds use of the membership part. */
-export interface RoundParts {
+/** What the gossip rounds use of the membership part. */
+export interface RoundDependencies {
   peers: PeerClient;
   self: SelfDigest;
   receive(message: DigestMessage): Receipt;
 }
 
-export interface Rounds {
+export interface GossipRounds {
   listTargets(): RoundTarget[];
-  /** The other half of an exchange that `from` began. */
-  composeAnswer(from: string): DigestMessage;
-  spend(bytes: number): void;
-  /** A round soon. */
-  nudge(): void;
-  /** Runs rounds until `stop`; `tend` is called before each. */
-  start(tend: () => void): void;
+  /** Composes the reply to an exchange that `from` started. */
+  composeReply(from: string): DigestMessage;
+  /** Charges `bytes` against the byte budget. */
+  countSentBytes(bytes: number): void;
+  /** Starts the next round early, since there is an urgent change. */
+  requestRound(): void;
+  /** Runs rounds until `stop`; calls `beforeRound` before each. */
+  start(beforeRound: () => void): void;
   stop(): Promise<void>;
 }
 
-/** The rounds of one entry. */
-export function createRounds(context: EntryContext, parts: RoundParts): Rounds {
+/** Creates the gossip rounds of one entry. */
+export function createGossipRounds(
+  context: EntryContext,
+  dependencies: RoundDependencies,
+): GossipRounds {
   const { board, clock, identity, random, settings } = context;
   const { bytesPerSecond, digestEveryMs, fanOut, forgetMs } = settings.membership;
-  const { peers, self } = parts;
+  const { peers, self } = dependencies;
   const { state } = self;
   let budget: ByteBudget = { left: bytesPerSecond, at: clock.now() };
-  let wake = new AbortController();
-  let hasNews = true;
+  let pauseController = new AbortController();
+  let isUrgent = true;
   let isStopped = false;
   let running = Promise.resolve();
   const exchanges = new Set<Promise<void>>();
@@ -79,32 +83,32 @@
     targets.delete(identity.peerAddress);
     return [...targets.values()].filter((target) => target.name !== identity.name);
   };
-  const compose = (target: string | undefined, failureDomain?: string): DigestMessage => {
+  const composeDigest = (target: string | undefined, failureDomain?: string): DigestMessage => {
     const now = clock.now();
     const live = listLive(state, forgetMs, now);
     const isLarge = isLargeFleet(listTargets().length);
-    const own = identity.failureDomain;
+    const ownDomain = identity.failureDomain;
     const relayed = listRelayed({
       peers: live,
       isLarge,
-      failureDomain: own,
+      failureDomain: ownDomain,
       targetDomain: failureDomain,
     });
     const summaries = isLarge ? listSummaries(state, live, board.fleet.read(), now) : [];
-    const question = {
+    const messageOptions = {
       target,
       relayed,
       summaries,
-      heartbeatGapMs: forgetMs * HEARTBEAT_GAP,
+      heartbeatGapMs: forgetMs * HEARTBEAT_INTERVAL_RATIO,
       budgetBytes: MESSAGE_BUDGET_BYTES,
     };
-    return composeMessage(state, question, now);
+    return composeMessage(state, messageOptions, now);
   };
   const exchange = async ({ address, name, failureDomain }: RoundTarget): Promise<void> => {
-    const message = compose(name, failureDomain);
+    const message = composeDigest(name, failureDomain);
     const answer = await peers.exchange(address, message);
     if (answer.isErr() || isStopped) return;
-    const { from } = parts.receive(answer.value);
+    const { from } = dependencies.receive(answer.value);
     confirmMessage(state, from, message, clock.now());
   };
   const runRound = (): void => {
@@ -115,48 +119,50 @@
         failureDomain: identity.failureDomain,
         targets: listTargets(),
         fanOut,
-        bytesLeft: findSpendable(budget, bytesPerSecond, hasNews),
-        bytesPerExchange: EXCHANGE_BYTES,
+        bytesLeft: findSpendable(budget, bytesPerSecond, isUrgent),
+        bytesPerExchange: ESTIMATED_EXCHANGE_BYTES,
       },
       random,
     );
-    hasNews = false;
+    isUrgent = false;
     for (const target of targets) {
       const call = exchange(target).finally(() => exchanges.delete(call));
       exchanges.add(call);
     }
   };
-  const pause = async (): Promise<void> => {
-    const spread = digestEveryMs * JITTER * (random.fraction() * 2 - 1);
-    // The only rejection is that of the signal: there is news.
-    await sleep(digestEveryMs + spread, undefined, { signal: wake.signal }).catch(() => undefined);
-    if (wake.signal.aborted && !isStopped) await sleep(NEWS_PAUSE_MS);
-    wake = new AbortController();
+  const waitForNextRound = async (): Promise<void> => {
+    const jitterMs = digestEveryMs * JITTER_RATIO * (random.fraction() * 2 - 1);
+    // The sleep rejects only when `requestRound` or `stop` aborts it.
+    await sleep(digestEveryMs + jitterMs, undefined, { signal: pauseController.signal }).catch(
+      () => undefined,
+    );
+    if (pauseController.signal.aborted && !isStopped) await sleep(URGENT_ROUND_DELAY_MS);
+    pauseController = new AbortController();
   };
-  const run = async (tend: () => void): Promise<void> => {
+  const runLoop = async (beforeRound: () => void): Promise<void> => {
     while (!isStopped) {
-      tend();
+      beforeRound();
       runRound();
-      await pause();
+      await waitForNextRound();
     }
   };
 
   return {
     listTargets,
-    composeAnswer: (from) => compose(from, state.peers.get(from)?.content.failureDomain),
-    spend: (bytes) => {
+    composeReply: (from) => composeDigest(from, state.peers.get(from)?.content.failureDomain),
+    countSentBytes: (bytes) => {
       budget = { ...budget, left: budget.left - bytes };
     },
-    nudge: () => {
-      hasNews = true;
-      wake.abort();
+    requestRound: () => {
+      isUrgent = true;
+      pauseController.abort();
     },
-    start: (tend) => {
-      running = run(tend);
+    start: (beforeRound) => {
+      running = runLoop(beforeRound);
     },
     stop: async () => {
       isStopped = true;
-      wake.abort();
+      pauseController.abort();
       await Promise.all([running, ...exchanges]);
     },
   };
--- a/src/entry/membership/self-digest.ts
+++ b/src/entry/membership/self-digest.ts
@@ -1,5 +1,6 @@
 /**
- * This entry's own digest: composed from the board for each round, with what other controllers add.
+ * This entry's own digest: composed from the board for each round, with the extensions that other
+ * parts contribute.
  */
 import { listDraining } from '../../controllers/drains/index.js';
 import {
@@ -16,19 +17,19 @@
 import type { FleetWriter } from './fleet-writer.js';
 import type { MembershipOptions } from './types.js';
 
-/** The digest of this entry and the state of all others'. */
+/** This entry's digest, along with the gossip state of all entries. */
 export interface SelfDigest {
   state: GossipState;
-  /** Composes the digest anew. */
+  /** Recomposes the digest from the current state. */
   advance(): void;
-  /** Hands the parts of a peer's digest to those who use them. */
+  /** Passes the leaving marks and extensions of a peer's digest to their consumers. */
   import(record: PeerRecord, now: Milliseconds): void;
   announceStopping(): void;
-  /** Calls `listener` when something happened that should not wait for the next round. */
-  onNews(listener: () => void): () => void;
+  /** Calls `listener` on each change that should not wait for the next round. */
+  onUrgentChange(listener: () => void): () => void;
 }
 
-/** The digest of the entry of `context`. */
+/** Creates the digest of the entry of `context`. */
 export function createSelfDigest(
   context: EntryContext,
   configuration: ConfigurationPart,
@@ -45,24 +46,29 @@
       region: identity.region,
       failureDomain: identity.failureDomain,
       revision: configuration.revision(),
-      ...listNewest(configuration),
+      ...composeNewestRevision(configuration),
       ready: isReady() && !isStopping,
       stopping: isStopping,
       platform: configuration.platformContact(),
       attempts: board.attempts.read(),
       draining: listDraining(board.fleet.read(), board.plans.read(), board.attempts.read()),
-      leaving: fleet.marks(),
+      leaving: fleet.currentMarks(),
       extensions: exportExtensions(),
     });
   const exportExtensions = (): DigestContent['extensions'] => {
-    const texts: DigestContent['extensions'] = {};
+    const exported: DigestContent['extensions'] = {};
     for (const extension of extensions) {
       const text = extension.export();
-      if (text !== undefined) texts[extension.name] = text;
+      if (text !== undefined) exported[extension.name] = text;
     }
-    return texts;
+    return exported;
   };
-  const state = createGossipState(identity.name, identity.incarnation, firstContent(context), 0);
+  const state = createGossipState(
+    identity.name,
+    identity.incarnation,
+    createInitialContent(context),
+    0,
+  );
 
   return {
     state,
@@ -70,7 +76,7 @@
       advanceSelf(state, compose(), clock.now());
     },
     import: (record, now) => {
-      fleet.adopt(record.content.leaving);
+      fleet.mergeMarks(record.content.leaving);
       for (const extension of extensions) {
         const text = record.content.extensions[extension.name];
         if (text !== undefined) extension.import(record.name, text, now - record.heardAt);
@@ -80,22 +86,24 @@
       isStopping = true;
       advanceSelf(state, compose(), clock.now());
     },
-    onNews: (listener) => {
-      const stops = extensions.flatMap((extension) => extension.onNews?.(listener) ?? []);
-      stops.push(watchNews(context, listener));
+    onUrgentChange: (listener) => {
+      const unsubscribes = extensions.flatMap(
+        (extension) => extension.onUrgentChange?.(listener) ?? [],
+      );
+      unsubscribes.push(watchUrgentChanges(context, listener));
       return () => {
-        for (const stop of stops) stop();
+        for (const unsubscribe of unsubscribes) unsubscribe();
       };
     },
   };
 }
 
-function listNewest(configuration: ConfigurationPart): Pick<DigestContent, 'newest'> {
+function composeNewestRevision(configuration: ConfigurationPart): Pick<DigestContent, 'newest'> {
   const newest = configuration.newest();
   return newest > configuration.revision() ? { newest } : {};
 }
 
-function firstContent({ identity }: EntryContext): DigestContent {
+function createInitialContent({ identity }: EntryContext): DigestContent {
   const { peerAddress, region, failureDomain } = identity;
   return {
     peerAddress,
@@ -113,22 +121,22 @@
   };
 }
 
-/** News is a revision that came into force and an instance that is leaving. */
-function watchNews({ board }: EntryContext, listener: () => void): () => void {
-  let { revision } = board.configuration.read();
-  let { leaving } = board.fleet.read();
-  const stopConfiguration = board.configuration.subscribe(() => {
+/** A newly applied revision and a newly leaving instance are urgent. */
+function watchUrgentChanges({ board }: EntryContext, listener: () => void): () => void {
+  let { revision: knownRevision } = board.configuration.read();
+  let { leaving: knownLeaving } = board.fleet.read();
+  const unsubscribeConfiguration = board.configuration.subscribe(() => {
     const after = board.configuration.read().revision;
-    if (after !== revision) listener();
-    revision = after;
+    if (after !== knownRevision) listener();
+    knownRevision = after;
   });
-  const stopFleet = board.fleet.subscribe(() => {
+  const unsubscribeFleet = board.fleet.subscribe(() => {
     const after = board.fleet.read().leaving;
-    if ([...after].some((name) => !leaving.has(name))) listener();
-    leaving = after;
+    if ([...after].some((name) => !knownLeaving.has(name))) listener();
+    knownLeaving = after;
   });
   return () => {
-    stopConfiguration();
-    stopFleet();
+    unsubscribeConfiguration();
+    unsubscribeFleet();
   };
 }
--- a/src/entry/membership/types.ts
+++ b/src/entry/membership/types.ts
@@ -1,5 +1,5 @@
 /**
- * What the other parts of an entry use of its membership part.
+ * The interface of an entry's membership part.
  */
 import type { PeerHandlers } from '../../adapters/peers/index.js';
 import type { Readiness } from '../../controllers/configuration/index.js';
@@ -7,39 +7,39 @@
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Part } from '../types.js';
 
-/** What another controller adds to this entry's digest, and learns from those of others. */
+/** Data that another part adds to this entry's digest and reads from the digests of peers. */
 export interface DigestExtension {
   name: 'health' | 'limits';
-  /** JSON text of its own schema, within `EXTENSION_LENGTH`; undefined for nothing. */
+  /** JSON text in its own schema, at most `EXTENSION_LENGTH` characters; undefined to omit it. */
   export(): string | undefined;
-  /** Called when the digest of `peer` changed; `ageMs` is how old it is. */
+  /** Called when the digest of `peer` changed; `ageMs` is the age of the digest. */
   import(peer: string, text: string, ageMs: Milliseconds): void;
-  /** Calls `listener` when what it exports should not wait for the next round. */
-  onNews?(listener: () => void): () => void;
+  /** Calls `listener` when the exported data should not wait for the next round. */
+  onUrgentChange?(listener: () => void): () => void;
 }
 
 export interface MembershipOptions {
   extensions?: readonly DigestExtension[];
-  /** Whether this entry as a whole takes callers; by default `readiness` alone decides. */
+  /** Whether this entry as a whole accepts callers; defaults to the result of `readiness`. */
   isReady?: () => boolean;
 }
 
-/** Keeps the view of the other entries and writes the `fleet` and `peers` sections. */
+/** Maintains the view of the other entries and writes the `fleet` and `peers` sections. */
 export interface MembershipPart extends Part {
-  /** What this entry answers to the others; for `createPeerServer`. */
+  /** Handlers for the calls of other entries; pass them to `createPeerServer`. */
   handlers: PeerHandlers;
-  /** Counts what the peer listener and client sent against the budget of bytes. */
+  /** Charges bytes sent by the peer server and client against the gossip byte budget. */
   countSent(bytes: number): void;
-  /** Whether configuration and contact with others let this entry take callers. */
+  /** Whether this entry's configuration and its contact with peers allow it to accept callers. */
   readiness(): Readiness;
   /** Summaries of the other failure domains; empty in a small fleet. */
   summaries(): readonly SummaryRecord[];
-  /** Entries that said that they stop and are heard no more. */
+  /** Entries that announced their stop and have since gone silent. */
   departed(): ReadonlySet<string>;
-  /** An operator marked `instance` as leaving; the platform's list may show it later. */
+  /** Records that an operator marked `instance` as leaving, before the platform's list shows it. */
   markLeaving(instance: string, version: number): void;
-  /** From now on the digest says that this entry is stopping. */
+  /** Marks this entry as stopping in its digest. */
   announceStopping(): void;
-  /** Resolves true when peers know that this entry stops, false after `timeoutMs`. */
+  /** Resolves true once enough peers hold this entry's latest digest, false after `timeoutMs`. */
   whenHandedOver(timeoutMs: Milliseconds): Promise<boolean>;
 }
