--- a/src/entry/health/health-part.ts
+++ b/src/entry/health/health-part.ts
@@ -1,5 +1,5 @@
 /**
- * Asks the engines for their reports and keeps the `health` and `load` sections.
+ * Probes the engines and maintains the `health` and `load` sections.
  */
 import type { EngineReport } from '../../adapters/engines/index.js';
 import type { InstanceHealth, ReplicaLoad } from '../../board/index.js';
@@ -18,49 +18,50 @@
 import type { EntryContext, Part } from '../types.js';
 import { createHealthPassing } from './health-passing.js';
 
-/** The part, and what the request path tells it. */
+/** Probes engines and receives the outcomes of requests from the request path. */
 export interface HealthPart extends Part {
-  /** A request to `instance` failed: it counts against its replica at once. */
+  /** Records a failed request to `instance`, which counts against its replica immediately. */
   reportFailure(instance: string): void;
-  /** A plain service answered. Engines need none: their reports tell. */
+  /** Records an answer of a plain service. Engines recover through their reports instead. */
   reportAnswer(instance: string): void;
-  /** Takes a report that an order or another call brought; asked for at `askedAt`. */
+  /** Records a report requested at `askedAt`, such as one returned by an order. */
   keepReport(report: EngineReport, askedAt: Milliseconds): void;
   /** Exchanges reports with the other entries. */
   extension: DigestExtension;
 }
 
-/** How often the part looks which probes are due. */
-const TICK_MS = 50;
+/** Interval between checks for due probes. */
+const TICK_INTERVAL_MS = 50;
 
-/** Entries that probe each engine once peers are known; the others take over when it falls silent. */
-const REDUNDANCY = 1;
+/** Number of entries assigned to probe each engine; the others take over when reports go stale. */
+const PROBERS_PER_ENGINE = 1;
 
 /**
- * The part of one entry. Good reports are gathered and written once per tick, so that a thousand
- * engines cause twenty writes a second; a failure is written at once.
+ * Creates the health part of an entry. Good reports are batched and written once per tick, which
+ * bounds the write rate in a large fleet; a failure is written immediately.
  */
 export function createHealthPart(context: EntryContext): HealthPart {
   const { board, writers, clock, engines, identity, logger, settings } = context;
   const { probeEveryMs, probeTimeoutMs, freshMs } = settings.health;
   const probes = new Map<string, ProbeState>();
-  const running = new Set<Promise<void>>();
-  const heard = new Map<string, InstanceHealth>();
-  const loads = new Map<string, ReplicaLoad>();
+  const runningProbes = new Set<Promise<void>>();
+  const pendingHealth = new Map<string, InstanceHealth>();
+  const pendingLoads = new Map<string, ReplicaLoad>();
   let timer: NodeJS.Timeout | undefined;
-  let assigned: ReadonlySet<string> = new Set();
-  let assignedFor = '';
-  /** Failed here, and not heard well by this entry since. */
-  const failing = new Set<string>();
-  const passing = createHealthPassing(context, {
+  let assignedEngines: ReadonlySet<string> = new Set();
+  let assignmentKey = '';
+  /** Instances that this entry saw fail, with no good report or answer since. */
+  const locallyFailing = new Set<string>();
+  const healthExchange = createHealthPassing(context, {
     readHealth,
-    readAssigned: () => assigned,
-    readFailing: () => failing,
+    readAssigned: () => assignedEngines,
+    readFailing: () => locallyFailing,
     keep: (health, load, failures) => {
-      for (const [name, known] of health) heard.set(name, known);
+      for (const [name, known] of health) pendingHealth.set(name, known);
       for (const [id, known] of load) {
-        const before = loads.get(id) ?? board.load.read().get(id);
-        if (before === undefined || before.measuredAt < known.measuredAt) loads.set(id, known);
+        const before = pendingLoads.get(id) ?? board.load.read().get(id);
+        if (before === undefined || before.measuredAt < known.measuredAt)
+          pendingLoads.set(id, known);
       }
       for (const instance of failures) logger.log('instanceFailing', { instance });
       if (failures.length > 0) flush();
@@ -68,23 +69,23 @@
   });
 
   function readHealth(name: string): InstanceHealth | undefined {
-    return heard.get(name) ?? board.health.read().get(name);
+    return pendingHealth.get(name) ?? board.health.read().get(name);
   }
 
-  /** Writes what was gathered and forgets instances and replicas that are gone. */
+  /** Writes pending health and load, and drops instances and replicas that no longer exist. */
   function flush(): void {
-    if (heard.size === 0 && loads.size === 0) return;
+    if (pendingHealth.size === 0 && pendingLoads.size === 0) return;
     const { instances } = board.fleet.read();
-    const health = new Map([...board.health.read(), ...heard]);
+    const health = new Map([...board.health.read(), ...pendingHealth]);
     for (const name of health.keys()) if (!instances.has(name)) health.delete(name);
-    for (const name of failing) if (!instances.has(name)) failing.delete(name);
-    heard.clear();
+    for (const name of locallyFailing) if (!instances.has(name)) locallyFailing.delete(name);
+    pendingHealth.clear();
     writers.health.write(health);
-    if (loads.size === 0) return;
+    if (pendingLoads.size === 0) return;
     const planned = listPlannedReplicas();
-    const load = new Map([...board.load.read(), ...loads]);
+    const load = new Map([...board.load.read(), ...pendingLoads]);
     for (const id of load.keys()) if (!planned.has(id)) load.delete(id);
-    loads.clear();
+    pendingLoads.clear();
     writers.load.write(load);
   }
 
@@ -97,24 +98,24 @@
     const previous = readHealth(report.instance);
     const next = recordReport(previous, report, askedAt);
     if (next === previous) return;
-    heard.set(report.instance, next);
-    if (next.failingSince === undefined) failing.delete(report.instance);
+    pendingHealth.set(report.instance, next);
+    if (next.failingSince === undefined) locallyFailing.delete(report.instance);
     if (previous?.failingSince !== undefined && next.failingSince === undefined) {
       logger.log('instanceRecovered', { instance: report.instance });
     }
     const { load, replica } = report;
     if (load === undefined || replica === undefined) return;
-    loads.set(replica.id, { load, measuredAt: askedAt - load.ageMs });
+    pendingLoads.set(replica.id, { load, measuredAt: askedAt - load.ageMs });
   }
 
   function reportFailure(instance: string): void {
     const previous = readHealth(instance);
     if (previous?.failingSince === undefined) logger.log('instanceFailing', { instance });
-    heard.set(instance, recordFailure(previous, clock.now()));
+    pendingHealth.set(instance, recordFailure(previous, clock.now()));
     flush();
-    if (failing.has(instance)) return;
-    failing.add(instance);
-    passing.announce();
+    if (locallyFailing.has(instance)) return;
+    locallyFailing.add(instance);
+    healthExchange.announce();
   }
 
   async function probe(name: string, address: string): Promise<void> {
@@ -122,11 +123,11 @@
     probes.set(name, { askedAt, underWay: true });
     const result = await engines.health(address, probeTimeoutMs);
     probes.set(name, { askedAt, underWay: false });
-    // Another engine at a reused address must not speak for the one that was there before.
+    // An answer from another engine at a reused address says nothing about this instance.
     if (result.isOk() && result.value.instance === name) keepReport(result.value, askedAt);
-    // A process that was paused finds that its probes are overdue, whatever became of the engines.
-    // Telling that to all would take healthy replicas out of service everywhere; it asks again.
-    else if (passing.hasPausedSince(askedAt)) return;
+    // After a process pause, probes time out even if the engines are healthy. Reporting these as
+    // failures would take healthy replicas out of service on all entries, so they are retried.
+    else if (healthExchange.hasPausedSince(askedAt)) return;
     else if (board.fleet.read().instances.has(name)) reportFailure(name);
   }
 
@@ -139,24 +140,24 @@
     return [{ name: identity.name, failureDomain: identity.failureDomain }, ...peers];
   }
 
-  /** The choice of probers changes with the lists alone, and costs a hash for each pair. */
+  /** Caches the assignment, which costs a hash per pair and depends only on fleet and peers. */
   function findAssigned(targets: readonly ProbeTarget[]): ReadonlySet<string> {
     const probers = listProbers();
     const key = `${board.fleet.version()} ${probers.map(({ name }) => name).join(' ')}`;
-    if (key === assignedFor) return assigned;
-    assignedFor = key;
-    assigned = new Set(assignProbes(probers, targets, identity.name, REDUNDANCY));
-    return assigned;
+    if (key === assignmentKey) return assignedEngines;
+    assignmentKey = key;
+    assignedEngines = new Set(assignProbes(probers, targets, identity.name, PROBERS_PER_ENGINE));
+    return assignedEngines;
   }
 
   function tick(): void {
-    passing.noteTick();
+    healthExchange.noteTick();
     const targets = [...board.fleet.read().instances]
       .filter(([, instance]) => instance.role === 'engine')
       .map(([name, { address, failureDomain }]) => ({ name, address, failureDomain }));
     const addresses = new Map(targets.map(({ name, address }) => [name, address]));
     for (const name of probes.keys()) if (!addresses.has(name)) probes.delete(name);
-    const due = listDueProbes(
+    const dueProbes = listDueProbes(
       {
         targets: [...addresses.keys()],
         assigned: findAssigned(targets),
@@ -168,30 +169,32 @@
       },
       clock.now(),
     );
-    for (const name of due) {
-      const call = probe(name, addresses.get(name) ?? '').finally(() => running.delete(call));
-      running.add(call);
+    for (const name of dueProbes) {
+      const runningProbe = probe(name, addresses.get(name) ?? '').finally(() =>
+        runningProbes.delete(runningProbe),
+      );
+      runningProbes.add(runningProbe);
     }
     flush();
   }
 
   return {
     start: () => {
-      timer = setInterval(tick, TICK_MS);
+      timer = setInterval(tick, TICK_INTERVAL_MS);
       tick();
     },
     stop: async () => {
       clearInterval(timer);
-      await Promise.all(running);
+      await Promise.all(runningProbes);
     },
     reportFailure,
     keepReport,
     reportAnswer: (instance) => {
       if (readHealth(instance)?.failingSince === undefined) return;
-      heard.set(instance, recordAnswer(clock.now()));
-      failing.delete(instance);
+      pendingHealth.set(instance, recordAnswer(clock.now()));
+      locallyFailing.delete(instance);
       flush();
     },
-    extension: passing,
+    extension: healthExchange,
   };
 }
--- a/src/entry/health/health-passing.ts
+++ b/src/entry/health/health-passing.ts
@@ -1,5 +1,5 @@
 /**
- * Exchanges reports with the other entries, as a part of the digests.
+ * Exchanges health reports with the other entries as an extension of the digests.
  */
 import type { InstanceHealth, ReplicaLoad } from '../../board/index.js';
 import {
@@ -14,12 +14,13 @@
 import type { DigestExtension } from '../membership/index.js';
 import type { EntryContext } from '../types.js';
 
-/** What the health part lends to the exchange. */
-interface PassingParts {
+/** What the exchange uses of the health part. */
+interface HealthExchangeDependencies {
   readHealth: (instance: string) => InstanceHealth | undefined;
   readAssigned(): Iterable<string>;
-  /** Instances that failed here and were not heard well since. */
+  /** Instances that this entry saw fail, with no good report or answer since. */
   readFailing(): Iterable<string>;
+  /** Stores what a peer reported. */
   keep(
     health: ReadonlyMap<string, InstanceHealth>,
     load: ReadonlyMap<string, ReplicaLoad>,
@@ -29,60 +30,62 @@
 
 /** The `health` extension of the digests. */
 export interface HealthPassing extends DigestExtension {
-  /** Call at every tick of the part: a long gap between two means that the process stood still. */
+  /** Call on every tick: a long gap between two ticks means that the process was paused. */
   noteTick(): void;
-  /** Whether the process stood still at some time after `since`. */
+  /** Whether the process was paused at some point after `since`. */
   hasPausedSince(since: Milliseconds): boolean;
-  /** Tells the others of a failure without waiting for the next round. */
+  /** Sends failures to peers without waiting for the next regular round. */
   announce(): void;
 }
 
-/** The last digest of a peer; its text is the same as long as nothing changes at the engines. */
+/** The last digest of a peer, cached by its text to avoid parsing an unchanged digest again. */
 interface KnownDigest {
   text: string;
   digest: HealthDigest;
 }
 
-/** What is passed on was heard within this many probe intervals. */
-const WITHIN_PROBES = 1.5;
-/** Added to the age of every digest for the time that it was under way. */
-const TRANSIT_MS = 200;
+/** Only reports younger than this many probe intervals are sent to peers. */
+const RELAY_WINDOW_PROBES = 1.5;
+/** Added to the age of every digest to account for its time in transit. */
+const TRANSIT_ALLOWANCE_MS = 200;
 /**
- * A digest that waited in a socket while the process was paused looks fresh when it is read. It
- * shows as a tick that is overdue, since digests are read before the timers run again; what such a
- * digest says of health is not taken.
+ * A tick later than this means that the process was paused. Digests read before the next tick may
+ * have waited in a socket and only look fresh, so their health data is ignored.
  */
-const PAUSED_MS = 500;
+const PAUSE_THRESHOLD_MS = 500;
 
-/** The exchange of one entry. */
-export function createHealthPassing(context: EntryContext, parts: PassingParts): HealthPassing {
+/** Creates the health exchange of one entry. */
+export function createHealthPassing(
+  context: EntryContext,
+  dependencies: HealthExchangeDependencies,
+): HealthPassing {
   const { board, clock, settings } = context;
-  const withinMs = settings.health.probeEveryMs * WITHIN_PROBES;
-  const known = new Map<string, KnownDigest>();
+  const relayWindowMs = settings.health.probeEveryMs * RELAY_WINDOW_PROBES;
+  const peerDigests = new Map<string, KnownDigest>();
   const listeners = new Set<() => void>();
-  let tickedAt = clock.now();
-  let wokeAt = Number.NEGATIVE_INFINITY;
+  let lastTickAt = clock.now();
+  let lastResumedAt = Number.NEGATIVE_INFINITY;
 
   const announce = (): void => {
     for (const listener of [...listeners]) listener();
   };
 
-  const isOverdue = (now: Milliseconds): boolean => now - tickedAt > PAUSED_MS;
+  const isTickOverdue = (now: Milliseconds): boolean => now - lastTickAt > PAUSE_THRESHOLD_MS;
 
   function importText(peer: string, text: string, ageMs: Milliseconds): void {
     const now = clock.now();
-    if (isOverdue(now)) return;
-    const before = known.get(peer);
-    const digest = before?.text === text ? before.digest : readText(text);
+    if (isTickOverdue(now)) return;
+    const previous = peerDigests.get(peer);
+    const digest = previous?.text === text ? previous.digest : parseDigest(text);
     if (digest === undefined) return;
-    known.set(peer, { text, digest });
-    const failedBefore = new Set(before?.digest.failing);
-    const passed = { digest, failedBefore, ageMs: ageMs + TRANSIT_MS };
-    const view = { plans: board.plans.read(), readHealth: parts.readHealth };
-    const news = readHealthDigest(view, passed, now);
-    parts.keep(news.health, news.load, news.failing);
-    // The peer's digest goes on to those that it does not reach itself.
-    if (news.failing.length > 0) announce();
+    peerDigests.set(peer, { text, digest });
+    const failedBefore = new Set(previous?.digest.failing);
+    const received = { digest, failedBefore, ageMs: ageMs + TRANSIT_ALLOWANCE_MS };
+    const view = { plans: board.plans.read(), readHealth: dependencies.readHealth };
+    const update = readHealthDigest(view, received, now);
+    dependencies.keep(update.health, update.load, update.failing);
+    // Relays the failures to entries that the peer does not reach itself.
+    if (update.failing.length > 0) announce();
   }
 
   return {
@@ -91,9 +94,9 @@
       const source = {
         plans: board.plans.read(),
         health: board.health.read(),
-        assigned: parts.readAssigned(),
-        failing: parts.readFailing(),
-        withinMs,
+        assigned: dependencies.readAssigned(),
+        failing: dependencies.readFailing(),
+        withinMs: relayWindowMs,
         textLength: EXTENSION_LENGTH,
       };
       return JSON.stringify(composeHealthDigest(source, clock.now()));
@@ -104,17 +107,17 @@
       return () => listeners.delete(listener);
     },
     announce,
-    hasPausedSince: (since) => wokeAt >= since || isOverdue(clock.now()),
+    hasPausedSince: (since) => lastResumedAt >= since || isTickOverdue(clock.now()),
     noteTick: () => {
       const now = clock.now();
-      if (isOverdue(now)) wokeAt = now;
-      tickedAt = now;
+      if (isTickOverdue(now)) lastResumedAt = now;
+      lastTickAt = now;
       const peers = board.peers.read();
-      for (const peer of known.keys()) if (!peers.has(peer)) known.delete(peer);
+      for (const peer of peerDigests.keys()) if (!peers.has(peer)) peerDigests.delete(peer);
     },
   };
 }
 
-function readText(text: string): HealthDigest | undefined {
+function parseDigest(text: string): HealthDigest | undefined {
   return healthDigestSchema.safeParse(parseJson(text)).data;
 }
