--- a/src/entry/configuration/create-configuration.ts
+++ b/src/entry/configuration/create-configuration.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps this entry's objects current from the platform's watch and from peers.
+ * Keeps this entry's configuration objects up to date from the platform's watch and from peers.
  */
 import type { PeerClient } from '../../adapters/peers/index.js';
 import type { ObjectList } from '../../adapters/platform/index.js';
@@ -20,13 +20,13 @@
 import { createPlatformWatch } from './platform-watch.js';
 import type { ConfigurationPart } from './types.js';
 
-/** A confirmation alone is put on the board this often at most, to spare its readers. */
-const CONFIRM_EVERY_MS = 1_000;
-/** Pages of one pull; what is left comes with the next. */
-const PULL_PAGES = 50;
+/** Minimum interval between board writes that only update the confirmation time. */
+const CONFIRM_WRITE_INTERVAL_MS = 1_000;
+/** Maximum pages fetched in one pull; the next pull fetches the rest. */
+const MAX_PULL_PAGES = 50;
 
 /**
- * The configuration part of an entry. It watches the platform from its start until
+ * Creates the configuration part of an entry. It watches the platform from its start until
  * `setWatching(false)`.
  *
  * @example const configuration = createConfiguration(context, peers); configuration.start();
@@ -35,18 +35,18 @@
   const { clock, logger, platform, writers } = context;
   let state = createObjectState();
   let confirmedAt = Number.NEGATIVE_INFINITY;
-  let platformAt = Number.NEGATIVE_INFINITY;
-  let newest = 0;
+  let platformConfirmedAt = Number.NEGATIVE_INFINITY;
+  let newestVersion = 0;
   let isStopped = false;
-  let hasAskedPeer = false;
+  let hasPulledFromPeer = false;
   const instances = createSection(composeInstances(state));
-  const calls = { pull: Promise.resolve(), isPulling: false, isProbing: false };
+  const activeCalls = { pull: Promise.resolve(), isPulling: false, isProbing: false };
 
   const merge = (changes: ObjectChanges): void => {
     const before = state;
     state = mergeObjects(state, changes);
     if (state === before) return;
-    newest = findNewest(state);
+    newestVersion = findNewest(state);
     writers.configuration.write(composeConfiguration(state, confirmedAt));
     logger.log('configurationInForce', { revision: state.revision });
     logRejected(changes.objects);
@@ -62,21 +62,21 @@
   const confirm = (): void => {
     confirmedAt = clock.now();
     const section = writers.configuration.read();
-    if (confirmedAt - section.confirmedAt < CONFIRM_EVERY_MS) return;
+    if (confirmedAt - section.confirmedAt < CONFIRM_WRITE_INTERVAL_MS) return;
     writers.configuration.write({ ...section, confirmedAt });
   };
-  const takeList = (list: ObjectList): void => {
+  const applyList = (list: ObjectList): void => {
     merge({ since: state.revision, ...list });
-    // An old copy of the platform, behind what peers brought, confirms nothing.
+    // A stale platform replica, behind what peers have sent, confirms nothing.
     if (list.revision < state.revision) return;
-    platformAt = clock.now();
+    platformConfirmedAt = clock.now();
     confirm();
   };
-  const watch = createPlatformWatch(context, () => state.revision, takeList);
+  const watch = createPlatformWatch(context, () => state.revision, applyList);
 
   const pullPages = async (address: string): Promise<void> => {
     let since = findPullStart(state);
-    for (let page = 0; page < PULL_PAGES && !isStopped; page += 1) {
+    for (let page = 0; page < MAX_PULL_PAGES && !isStopped; page += 1) {
       const pulled = await peers.changesSince(address, since);
       if (pulled.isErr()) {
         logger.log('configurationPullFailed', { address, reason: pulled.error.message });
@@ -85,28 +85,28 @@
       merge(pulled.value);
       confirm();
       since = pulled.value.revision;
-      hasAskedPeer ||= !pulled.value.more;
+      hasPulledFromPeer ||= !pulled.value.more;
       if (!pulled.value.more) return;
     }
   };
   const pull = (address: string): void => {
-    if (calls.isPulling || isStopped) return;
-    calls.isPulling = true;
-    calls.pull = pullPages(address).finally(() => {
-      calls.isPulling = false;
+    if (activeCalls.isPulling || isStopped) return;
+    activeCalls.isPulling = true;
+    activeCalls.pull = pullPages(address).finally(() => {
+      activeCalls.isPulling = false;
     });
   };
   const refresh = async (): Promise<void> => {
     const list = await platform.watch(KEPT_KINDS, state.revision, 0);
-    if (list.isOk() && !isStopped) takeList(list.value);
+    if (list.isOk() && !isStopped) applyList(list.value);
   };
   /**
-   * Not any call will do: that the platform answers doesn't say that what is in force here is the
-   * newest, and the entry's own watch may bring nothing any more. This call brings what is missing.
+   * Probes with a refresh rather than a cheaper call: an answer alone does not prove that the
+   * configuration is current, and the watch may have stopped delivering changes.
    */
-  const probe = async (): Promise<void> => {
+  const refreshForProbe = async (): Promise<void> => {
     await refresh();
-    calls.isProbing = false;
+    activeCalls.isProbing = false;
   };
 
   return {
@@ -114,28 +114,28 @@
     merge,
     confirm,
     pull,
-    needsPeer: () => !hasAskedPeer && findPullStart(state) < state.revision,
+    needsPeer: () => !hasPulledFromPeer && findPullStart(state) < state.revision,
     revision: () => state.revision,
-    newest: () => newest,
-    platformAt: () => platformAt,
+    newestVersion: () => newestVersion,
+    platformAt: () => platformConfirmedAt,
     platformContact: () => watch.contact(),
     changesSince: (since) => exportChanges(state, since),
     setWatching: (isWatching) => {
-      watch.set(isWatching && !isStopped);
+      watch.setWatching(isWatching && !isStopped);
     },
     refresh,
     probe: () => {
-      if (calls.isProbing || isStopped) return;
-      calls.isProbing = true;
-      void probe();
+      if (activeCalls.isProbing || isStopped) return;
+      activeCalls.isProbing = true;
+      void refreshForProbe();
     },
     start: () => {
-      watch.set(true);
+      watch.setWatching(true);
     },
     stop: async () => {
       isStopped = true;
-      watch.set(false);
-      await Promise.all([watch.settled(), calls.pull]);
+      watch.setWatching(false);
+      await Promise.all([watch.whenStopped(), activeCalls.pull]);
     },
   };
 }
--- a/src/entry/configuration/platform-watch.ts
+++ b/src/entry/configuration/platform-watch.ts
@@ -1,30 +1,30 @@
 /**
- * This entry's own watch of the platform, which is started and ended as the fleet changes.
+ * This entry's own watch of the platform, started and stopped as the fleet changes.
  */
 import { createWatchLoop, type ObjectList, type WatchLoop } from '../../adapters/platform/index.js';
 import { KEPT_KINDS } from '../../controllers/configuration/index.js';
 import { listWatchMs } from '../../controllers/limits/index.js';
 import type { EntryContext } from '../types.js';
 
-/** A watch that can be started again after its end. */
+/** A watch that can be restarted after it was stopped. */
 export interface PlatformWatch {
-  set(isWatching: boolean): void;
+  setWatching(isWatching: boolean): void;
   contact(): 'reached' | 'unreached' | 'unwatched';
-  /** Resolves when no call of an ended watch is under way. */
-  settled(): Promise<void>;
+  /** Resolves when no call of a stopped watch is in progress. */
+  whenStopped(): Promise<void>;
 }
 
-/** A watch that begins after `revision()` and hands each answer to `takeList`. */
+/** Creates a watch that starts after `revision()` and passes each answer to `applyList`. */
 export function createPlatformWatch(
   { platform, random, logger, settings }: EntryContext,
   revision: () => number,
-  takeList: (list: ObjectList) => void,
+  applyList: (list: ObjectList) => void,
 ): PlatformWatch {
   let loop: WatchLoop | undefined;
   let isReached = false;
-  let ending = Promise.resolve();
+  let pendingStops = Promise.resolve();
 
-  const begin = (): void => {
+  const startLoop = (): void => {
     isReached = false;
     const started = createWatchLoop({
       platform,
@@ -36,7 +36,7 @@
       onList: (list) => {
         if (loop !== started) return;
         isReached = true;
-        takeList(list);
+        applyList(list);
       },
       onFailure: () => {
         if (loop === started) isReached = false;
@@ -45,20 +45,20 @@
     loop = started;
     started.start();
   };
-  const end = (ended: WatchLoop): void => {
+  const stopLoop = (stoppedLoop: WatchLoop): void => {
     loop = undefined;
-    ending = Promise.all([ending, ended.stop()]).then(() => undefined);
+    pendingStops = Promise.all([pendingStops, stoppedLoop.stop()]).then(() => undefined);
   };
 
   return {
-    set: (isWatching) => {
-      if (isWatching && loop === undefined) begin();
-      if (!isWatching && loop !== undefined) end(loop);
+    setWatching: (isWatching) => {
+      if (isWatching && loop === undefined) startLoop();
+      if (!isWatching && loop !== undefined) stopLoop(loop);
     },
     contact: () => {
       if (loop === undefined) return 'unwatched';
       return isReached ? 'reached' : 'unreached';
     },
-    settled: () => ending,
+    whenStopped: () => pendingStops,
   };
 }
--- a/src/entry/configuration/types.ts
+++ b/src/entry/configuration/types.ts
@@ -1,5 +1,5 @@
 /**
- * What the other parts of an entry use of its configuration part.
+ * The interface of an entry's configuration part.
  */
 import type { Section } from '../../board/index.js';
 import type {
@@ -10,32 +10,32 @@
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Part } from '../types.js';
 
-/** Keeps the objects of one entry current and writes the `configuration` section. */
+/** Keeps the objects of one entry up to date and writes the `configuration` section. */
 export interface ConfigurationPart extends Part {
   /** The platform's list of instances, for `membership`. */
   instances: Section<InstanceList>;
-  /** Every change up to this revision is in force here. */
+  /** The revision up to which every change is applied here. */
   revision(): number;
-  /** The newest object version held here; beyond the revision after a write of its own. */
-  newest(): number;
-  /** A valid version of some object may be had from peers only, and none has been asked yet. */
+  /** The newest object version held here; exceeds the revision after a write by this entry. */
+  newestVersion(): number;
+  /** Whether only a peer may have a valid version of some object, and none has been pulled from. */
   needsPeer(): boolean;
-  /** When the platform last confirmed what is in force here. */
+  /** When the platform last confirmed the configuration applied here. */
   platformAt(): Milliseconds;
-  /** Whether this entry watches the platform, and is answered. */
+  /** Whether this entry watches the platform, and whether the platform answers. */
   platformContact(): 'reached' | 'unreached' | 'unwatched';
-  /** What a peer that has everything up to `since` still needs. */
+  /** The changes after `since`, for a peer. */
   changesSince(since: number): ChangePage;
-  /** Merges what a peer or this entry's own write brought. */
+  /** Merges changes from a peer or from this entry's own write. */
   merge(changes: ObjectChanges): void;
-  /** A peer has nothing newer than what is in force here. */
+  /** Records that no peer has anything newer than the configuration applied here. */
   confirm(): void;
-  /** Fetches what a peer has more, one fetch at a time; a failed one is left to the next round. */
+  /** Fetches missing changes from a peer, one pull at a time; the next round retries a failure. */
   pull(address: string): void;
-  /** Starts or ends this entry's own watch of the platform. */
+  /** Starts or stops this entry's own watch of the platform. */
   setWatching(isWatching: boolean): void;
-  /** Asks the platform for what is missing here; resolves when it answered, or after its timeout. */
+  /** Fetches missing changes from the platform; resolves when it has answered or timed out. */
   refresh(): Promise<void>;
-  /** Does the same, one at a time, to learn whether the platform is there. */
+  /** Starts a refresh, one at a time, to test whether the platform is reachable. */
   probe(): void;
 }
--- a/src/entry/membership/create-membership.ts
+++ b/src/entry/membership/create-membership.ts
@@ -86,7 +86,7 @@
     const live = listLive(state, forgetMs, now);
     const revision = configuration.revision();
     const needsPeer = !caughtUp && configuration.needsPeer();
-    const newest = configuration.newest();
+    const newest = configuration.newestVersion();
     const pullQuery = { live, revision, newest, needsPeer, heard: receipt.from };
     const source = choosePullSource(pullQuery, random);
     if (source === undefined) configuration.confirm();
--- a/src/entry/membership/self-digest.ts
+++ b/src/entry/membership/self-digest.ts
@@ -99,7 +99,7 @@
 }
 
 function composeNewestRevision(configuration: ConfigurationPart): Pick<DigestContent, 'newest'> {
-  const newest = configuration.newest();
+  const newest = configuration.newestVersion();
   return newest > configuration.revision() ? { newest } : {};
 }
 
