--- a/src/entry/calls/once-calls.ts
+++ b/src/entry/calls/once-calls.ts
@@ -1,5 +1,5 @@
 /**
- * Runs calls that may run only once: feeds the state machine of each and performs its actions.
+ * Runs calls that may run at most once: drives the state machine of each and performs its actions.
  */
 import { randomUUID } from 'node:crypto';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -33,36 +33,36 @@
 import { createRecordCollector, type RecordCollector, type WallClock } from './record-collector.js';
 import { createRecordWriter } from './record-writer.js';
 
-/** Longest wait for records to be settled when the entry stops, in ms. */
+/** Maximum wait for records to be settled when the entry stops. */
 const MAX_STOP_WAIT_MS = 10_000;
 
 /**
- * Longest wait of a repeat for the record of a call that was given up, in ms: three tries of a
- * write, each within its default timeout of two seconds, and the pauses between them.
+ * Maximum wait of a repeated call for the record of an abandoned one. Covers three attempts of a
+ * write with the default timeout of two seconds each, and the pauses between them.
  */
 const MAX_RECORD_WAIT_MS = 6_500;
 
-/** What tests replace. */
+/** Dependencies that tests replace. */
 export interface OnceCallsOptions {
-  /** Compared with the time in keys alone. */
+  /** Compared only with the time in call keys. */
   wallClock?: WallClock;
   collector?: RecordCollector;
 }
 
-/** One call that this entry has open: in progress, or its record not settled. */
+/** A call of this entry that is in progress or whose record is not settled yet. */
 interface OpenCall {
   progress: CallProgress;
   age: KeyAge;
   send: () => Promise<SendOutcome>;
   resolve: (outcome: OnceOutcome) => void;
   deadline: NodeJS.Timeout | undefined;
-  /** What the record says is known here, or the platform does not take the write that tells. */
-  recordLearnt: Promise<void>;
-  noteRecordLearnt: () => void;
+  /** Resolves when the state of the record is known, or the write that would reveal it failed. */
+  recordWait: Promise<void>;
+  endRecordWait: () => void;
 }
 
 /**
- * The calls of one entry that may run only once.
+ * Creates the runner of an entry's at-most-once calls.
  *
  * @example const calls = createOnceCalls(context); await calls.run(call, () => send(request));
  */
@@ -73,15 +73,15 @@
   const { wallClock = Date.now } = options;
   const collector = options.collector ?? createRecordCollector(context, wallClock);
   const { identity, board, clock, settings } = context;
-  const open = new Map<string, OpenCall>();
-  const observed: ObservedClaims = new Map();
-  const writer = createRecordWriter(context, handle);
+  const openCalls = new Map<string, OpenCall>();
+  const observedClaims: ObservedClaims = new Map();
+  const writer = createRecordWriter(context, handleEvent);
   const claimant = { entry: identity.name, incarnation: identity.incarnation };
   let heldBytes = 0;
   let stopping = false;
-  let whenEmpty: (() => void) | undefined;
+  let resolveEmpty: (() => void) | undefined;
 
-  function createFacts(): CallFacts {
+  function createCallFacts(): CallFacts {
     const now = clock.now();
     return {
       now,
@@ -89,7 +89,7 @@
       createNonce: randomUUID,
       isClaimantLost: (record, stored) =>
         observeClaim(
-          observed,
+          observedClaims,
           record,
           stored,
           claimant,
@@ -105,62 +105,64 @@
     const age = checkKey(call.key, wallClock(), retentionMs);
     if (age.isErr()) return refuse(age.error);
     const name = nameRecord(call);
-    const before = open.get(name);
-    if (before) return joinOpen(name, before, call, send);
-    const refusal = stopping ? createFailure('stopping') : refuseNew();
+    const existing = openCalls.get(name);
+    if (existing) return joinOpen(name, existing, call, send);
+    const refusal = stopping ? createFailure('stopping') : checkCapacity();
     if (refusal) return refuse(refusal);
     return new Promise((resolve) => {
-      const step = beginCall(name, call, createFacts());
+      const step = beginCall(name, call, createCallFacts());
       const deadline = startDeadline(name, call);
-      const learnt = createWaiting();
-      const started: OpenCall = {
+      const recordWait = createDeferred();
+      const openCall: OpenCall = {
         progress: step.progress,
         age: age.value,
         send,
         resolve,
         deadline,
-        recordLearnt: learnt.whenDone,
-        noteRecordLearnt: learnt.done,
+        recordWait: recordWait.whenDone,
+        endRecordWait: recordWait.done,
       };
-      open.set(name, started);
-      perform(started, step);
+      openCalls.set(name, openCall);
+      applyStep(openCall, step);
     });
   }
 
-  /** A repeat of a call whose record decides waits for it, at most until its own deadline. */
+  /** Joins an open call. If its outcome depends on its record, first waits for that. */
   async function joinOpen(
     name: string,
-    before: OpenCall,
+    existing: OpenCall,
     call: OnceCall,
     send: () => Promise<SendOutcome>,
   ): Promise<OnceOutcome> {
-    if (!isFateOpen(before.progress) || !isSameCall(call, before.progress.call)) {
-      return joinOpenCall(before.progress, call);
+    if (!isFateOpen(existing.progress) || !isSameCall(call, existing.progress.call)) {
+      return joinOpenCall(existing.progress, call);
     }
-    await waitForRecord(before, call.deadlineAt);
-    const after = open.get(name);
-    return after ? joinOpenCall(after.progress, call) : run(call, send);
+    await waitForRecord(existing, call.deadlineAt);
+    const remaining = openCalls.get(name);
+    return remaining ? joinOpenCall(remaining.progress, call) : run(call, send);
   }
 
   async function waitForRecord(
-    { recordLearnt }: OpenCall,
+    { recordWait: recordLearnt }: OpenCall,
     deadlineAt: Milliseconds = Number.POSITIVE_INFINITY,
   ): Promise<void> {
-    const left = Math.min(MAX_RECORD_WAIT_MS, Math.max(0, deadlineAt - clock.now()));
-    const ended = new AbortController();
-    const limit = sleep(left, undefined, { signal: ended.signal }).catch(() => undefined);
-    await Promise.race([recordLearnt, limit]);
-    ended.abort();
+    const remainingMs = Math.min(MAX_RECORD_WAIT_MS, Math.max(0, deadlineAt - clock.now()));
+    const timeoutController = new AbortController();
+    const timeout = sleep(remainingMs, undefined, { signal: timeoutController.signal }).catch(
+      () => undefined,
+    );
+    await Promise.race([recordLearnt, timeout]);
+    timeoutController.abort();
   }
 
-  function refuseNew(): Failure | undefined {
+  function checkCapacity(): Failure | undefined {
     const admission = writer.admit();
     if (admission.kind === 'refuse') {
       const reason = 'the platform does not take it';
       return createFailure('recordUnavailable', { reason }, admission.retryAfterMs);
     }
-    // Bounds what an outage can pile up here; every open call is settled once the platform is back.
-    if (open.size >= MAX_OPEN_CALLS || heldBytes >= MAX_HELD_ANSWER_BYTES) {
+    // Limits the backlog during an outage; open calls are settled once the platform is back.
+    if (openCalls.size >= MAX_OPEN_CALLS || heldBytes >= MAX_HELD_ANSWER_BYTES) {
       const reason = 'too many records are not settled yet';
       return createFailure('recordUnavailable', { reason }, UNAVAILABLE_RETRY_MS);
     }
@@ -169,22 +171,22 @@
 
   function startDeadline(name: string, call: OnceCall): NodeJS.Timeout | undefined {
     if (call.deadlineAt === undefined) return undefined;
-    const left = Math.max(0, call.deadlineAt - clock.now());
+    const remainingMs = Math.max(0, call.deadlineAt - clock.now());
     return setTimeout(() => {
-      handle(name, { kind: 'deadlinePassed' });
-    }, left);
+      handleEvent(name, { kind: 'deadlinePassed' });
+    }, remainingMs);
   }
 
-  function handle(name: string, event: CallEvent): void {
-    const call = open.get(name);
-    if (call) perform(call, stepCall(call.progress, event, createFacts()));
+  function handleEvent(name: string, event: CallEvent): void {
+    const call = openCalls.get(name);
+    if (call) applyStep(call, stepCall(call.progress, event, createCallFacts()));
   }
 
-  function perform(call: OpenCall, step: CallStep): void {
-    heldBytes += heldBy(step.progress) - heldBy(call.progress);
+  function applyStep(call: OpenCall, step: CallStep): void {
+    heldBytes += countHeldBytes(step.progress) - countHeldBytes(call.progress);
     call.progress = step.progress;
     for (const action of step.actions) performAction(call, action);
-    if (call.progress.phase.kind === 'ended') close(call);
+    if (call.progress.phase.kind === 'ended') closeCall(call);
   }
 
   function performAction(call: OpenCall, action: CallAction): void {
@@ -200,43 +202,43 @@
         call.resolve(action.outcome);
         return;
       case 'retryLater':
-        call.noteRecordLearnt();
-        // The writer holds the write back for as long as the platform is to be left alone.
+        call.endRecordWait();
+        // The writer delays the write until its backoff for the platform has passed.
         queueMicrotask(() => {
-          handle(call.progress.name, { kind: 'retryDue' });
+          handleEvent(call.progress.name, { kind: 'retryDue' });
         });
         return;
       case 'settled':
-        collector.note(call.progress.name, action.version, call.age);
+        collector.trackSettled(call.progress.name, action.version, call.age);
         return;
     }
   }
 
   async function send(call: OpenCall): Promise<void> {
-    const outcome = await call.send().catch(describeCrash);
-    handle(call.progress.name, { kind: 'sendEnded', outcome });
+    const outcome = await call.send().catch(describeUnexpectedError);
+    handleEvent(call.progress.name, { kind: 'sendEnded', outcome });
   }
 
   /**
-   * Records that cannot be settled in an outage do not hold up the stop for ever: their claims
-   * stay, and the other entries record the outcome as unknown.
+   * Waits a limited time, since records can't be settled during an outage. Their claims remain, and
+   * other entries record the outcome as unknown.
    */
-  function waitUntilEmpty(): Promise<void> {
-    if (open.size === 0) return Promise.resolve();
+  function waitUntilSettled(): Promise<void> {
+    if (openCalls.size === 0) return Promise.resolve();
     return new Promise((resolve) => {
       const timer = setTimeout(resolve, MAX_STOP_WAIT_MS);
-      whenEmpty = () => {
+      resolveEmpty = () => {
         clearTimeout(timer);
         resolve();
       };
     });
   }
 
-  function close(call: OpenCall): void {
+  function closeCall(call: OpenCall): void {
     clearTimeout(call.deadline);
-    if (open.get(call.progress.name) === call) open.delete(call.progress.name);
-    call.noteRecordLearnt();
-    if (open.size === 0) whenEmpty?.();
+    if (openCalls.get(call.progress.name) === call) openCalls.delete(call.progress.name);
+    call.endRecordWait();
+    if (openCalls.size === 0) resolveEmpty?.();
   }
 
   return {
@@ -246,14 +248,14 @@
     },
     stop: async () => {
       stopping = true;
-      await waitUntilEmpty();
+      await waitUntilSettled();
       writer.close();
       await collector.stop();
     },
   };
 }
 
-function createWaiting(): { whenDone: Promise<void>; done: () => void } {
+function createDeferred(): { whenDone: Promise<void>; done: () => void } {
   let done = (): void => undefined;
   const whenDone = new Promise<void>((resolve) => {
     done = resolve;
@@ -261,7 +263,7 @@
   return { whenDone, done };
 }
 
-function heldBy({ phase }: CallProgress): number {
+function countHeldBytes({ phase }: CallProgress): number {
   if (phase.kind !== 'settling') return 0;
   return phase.state.kind === 'answered' ? phase.state.body.length : 0;
 }
@@ -270,8 +272,8 @@
   return Promise.resolve({ kind: 'failed', failure });
 }
 
-/** A send that threw may have reached the backend server. */
-function describeCrash(): SendOutcome {
+/** The outcome is unknown, since the request may have reached the backend server. */
+function describeUnexpectedError(): SendOutcome {
   const reason = 'an unexpected error met the call after it was begun';
   return { kind: 'unknown', failure: createFailure('outcomeUnknown', { reason }) };
 }
--- a/src/entry/calls/record-writer.ts
+++ b/src/entry/calls/record-writer.ts
@@ -1,5 +1,5 @@
 /**
- * Carries writes of call records to the platform in batches, as `batching` decides.
+ * Writes call records to the platform in batches, as planned by `planBatch`.
  */
 import type { WriteOutcome } from '../../adapters/platform/types.js';
 import {
@@ -15,20 +15,20 @@
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import type { EntryContext } from '../types.js';
 
-/** Where call records are written. */
+/** Submits writes of call records to the platform. */
 export interface RecordWriter {
   /** Whether a claim may be submitted now. */
   admit(): ClaimAdmission;
   submit(write: WaitingWrite['write'], urgency: WaitingWrite['urgency']): void;
-  /** Writes that wait or are under way. */
+  /** Number of writes that are queued or in progress. */
   pending(): number;
-  /** Drops the timer; what waits is left. */
+  /** Stops sending; queued writes are dropped. */
   close(): void;
 }
 
 type WriterContext = Pick<EntryContext, 'board' | 'clock' | 'random' | 'logger' | 'platform'>;
 
-/** A writer that reports the end of each write to `report`, once, never within `submit`. */
+/** Creates a writer that calls `report` once for each finished write, never within `submit`. */
 export function createRecordWriter(
   context: WriterContext,
   report: (name: string, event: WriteEvent) => void,
@@ -38,7 +38,7 @@
   let timer: NodeJS.Timeout | undefined;
   let closed = false;
 
-  function advance(): void {
+  function sendDueBatches(): void {
     clearTimeout(timer);
     timer = undefined;
     if (closed) return;
@@ -48,28 +48,28 @@
       case 'idle':
         return;
       case 'wait':
-        timer = setTimeout(advance, Math.max(1, plan.until - clock.now()));
+        timer = setTimeout(sendDueBatches, Math.max(1, plan.until - clock.now()));
         return;
       case 'send':
         void send(plan.batch);
-        advance();
+        sendDueBatches();
     }
   }
 
   async function send(batch: readonly WaitingWrite[]): Promise<void> {
     const result = await platform.writeBatch(batch.map(({ write }) => write));
     if (result.isErr()) {
-      fail(batch, result.error);
+      reportFailure(batch, result.error);
     } else if (result.value.length !== batch.length) {
       const reason = 'a batch was answered with another number of results';
-      fail(batch, createFailure('messageInvalid', { from: 'the platform', reason }));
+      reportFailure(batch, createFailure('messageInvalid', { from: 'the platform', reason }));
     } else {
-      succeed(batch, result.value);
+      reportOutcomes(batch, result.value);
     }
-    advance();
+    sendDueBatches();
   }
 
-  function succeed(batch: readonly WaitingWrite[], outcomes: readonly WriteOutcome[]): void {
+  function reportOutcomes(batch: readonly WaitingWrite[], outcomes: readonly WriteOutcome[]): void {
     if (batching.failures > 0) logger.log('callRecordsAvailable');
     noteBatchTaken(batching);
     batch.forEach((waiting, index) => {
@@ -78,15 +78,15 @@
     });
   }
 
-  function fail(batch: readonly WaitingWrite[], failure: Failure): void {
+  function reportFailure(batch: readonly WaitingWrite[], failure: Failure): void {
     if (batching.failures === 0) logger.log('callRecordsUnavailable', { reason: failure.message });
-    const refused = noteBatchFailed(batching, clock.now(), random, failure.retryAfterMs);
-    // Only this kind says that the writes had no effect and never will.
-    const left = failure.kind !== 'platformUnavailable';
+    const rejected = noteBatchFailed(batching, clock.now(), random, failure.retryAfterMs);
+    // Only `platformUnavailable` guarantees that the writes had no effect and never will.
+    const mayTakeEffect = failure.kind !== 'platformUnavailable';
     for (const { write } of batch) {
-      report(write.name, { kind: 'writeFailed', nonce: write.nonce, failure, left });
+      report(write.name, { kind: 'writeFailed', nonce: write.nonce, failure, left: mayTakeEffect });
     }
-    for (const { write } of refused) {
+    for (const { write } of rejected) {
       report(write.name, { kind: 'writeFailed', nonce: write.nonce, failure, left: false });
     }
   }
@@ -97,7 +97,7 @@
       const characters = JSON.stringify(write.value).length;
       batching.waiting.push({ write, urgency, characters });
       // Requests that arrive in the same turn of the event loop share a batch.
-      queueMicrotask(advance);
+      queueMicrotask(sendDueBatches);
     },
     pending: () => batching.waiting.length + batching.underWay,
     close: () => {
