--- a/src/entry/replicas/order-sender.ts
+++ b/src/entry/replicas/order-sender.ts
@@ -1,33 +1,33 @@
 /**
- * Sends orders to engines, one at a time for each, and only while the sender may.
+ * Sends orders to engines, one at a time per engine, and only while this entry is allowed to.
  */
 import type { EngineReport } from '../../adapters/engines/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import { isOrderStillDue, type OrderTask } from '../../controllers/replicas/index.js';
 import type { EntryContext } from '../types.js';
 
-/** Sends orders. */
 export interface OrderSender {
-  /** Sends `task` unless one is under way to its engine. `mayStillSend` is asked last of all. */
+  /** Sends `task` unless its engine has a pending order. Checks `mayStillSend` last. */
   send(task: OrderTask, mayStillSend: () => boolean): void;
-  /** Resolves when no order is under way. */
-  settle(): Promise<void>;
+  /** Resolves when no order is pending. */
+  whenIdle(): Promise<void>;
 }
 
-/** Where the reports that orders bring go. */
-export type ReportSink = (report: EngineReport, askedAt: Milliseconds) => void;
+/** Handles a report that an engine returned; it was requested at `askedAt`. */
+export type ReportHandler = (report: EngineReport, askedAt: Milliseconds) => void;
 
-/** A sender whose orders each end within `replicas.orderTimeoutMs`. */
-export function createOrderSender(context: EntryContext, keepReport: ReportSink): OrderSender {
+/** Creates a sender. Each order has a timeout of `replicas.orderTimeoutMs`. */
+export function createOrderSender(context: EntryContext, keepReport: ReportHandler): OrderSender {
   const { clock, engines, logger, settings } = context;
   const { orderTimeoutMs } = settings.replicas;
-  const underWay = new Map<string, Promise<void>>();
+  const pendingOrders = new Map<string, Promise<void>>();
 
   /**
-   * An engine that ignores numbers obeys an order whose basis is gone. It shows as a report that
-   * names something else than the order was decided from. Reading it just before leaves the span of
-   * one message in which that can still happen; the report after the order, and the serving gate,
-   * catch what came of it.
+   * Checks that the engine's state still matches the one that the order was based on.
+   *
+   * An engine that does not check fencing tokens would obey an outdated order. Reading its report
+   * just before sending narrows the race to one message; the report after the order and the check
+   * for eligible replicas detect what remains.
    */
   async function isStillDue(task: OrderTask): Promise<boolean> {
     if (task.checksFence) return true;
@@ -38,7 +38,7 @@
     return isOrderStillDue(task, read.value);
   }
 
-  async function perform(task: OrderTask, mayStillSend: () => boolean): Promise<void> {
+  async function sendOrder(task: OrderTask, mayStillSend: () => boolean): Promise<void> {
     if (!(await isStillDue(task)) || !mayStillSend()) return;
     const sentAt = clock.now();
     const answer = await engines.order(task.address, task.order, orderTimeoutMs);
@@ -54,12 +54,14 @@
   return {
     send: (task, mayStillSend) => {
       const { instance } = task;
-      if (underWay.has(instance)) return;
-      const call = perform(task, mayStillSend).finally(() => underWay.delete(instance));
-      underWay.set(instance, call);
+      if (pendingOrders.has(instance)) return;
+      const pendingOrder = sendOrder(task, mayStillSend).finally(() =>
+        pendingOrders.delete(instance),
+      );
+      pendingOrders.set(instance, pendingOrder);
     },
-    settle: async () => {
-      await Promise.all(underWay.values());
+    whenIdle: async () => {
+      await Promise.all(pendingOrders.values());
     },
   };
 }
--- a/src/entry/replicas/plan-store.ts
+++ b/src/entry/replicas/plan-store.ts
@@ -1,5 +1,6 @@
 /**
- * This entry's copy of all domain plans: what the board shows and what ownership is decided from.
+ * This entry's copy of all domain plans: the source of the board's `plans` section and of ownership
+ * decisions.
  */
 import type { Versioned } from '../../board/index.js';
 import {
@@ -17,24 +18,24 @@
 } from '../../objects/index.js';
 import type { EntryContext } from '../types.js';
 
-/** The states of all domains that this entry has met. */
+/** The states of all domains known to this entry. */
 export interface PlanStore {
   read(domain: string): DomainState;
   write(domain: string, state: DomainState): void;
-  /** Takes over what a watch or a peer brought; older versions and invalid plans are dropped. */
-  take(objects: readonly StoredObject[]): void;
+  /** Merges plans from a watch or a peer; ignores older versions and invalid plans. */
+  merge(objects: readonly StoredObject[]): void;
   /** The plan in `object`; undefined for a tombstone, another kind or an invalid value. */
   parse(object: StoredObject): StoredPlan | undefined;
-  /** The plans as the platform stored them, for entries that cannot reach it. */
+  /** The plans as stored objects, for entries that cannot reach the platform. */
   exportObjects(): StoredObject[];
 }
 
-/** An empty store; every write to it that changes a plan goes to the board. */
+/** Creates an empty store. Every write that changes the version of a plan updates the board. */
 export function createPlanStore(context: EntryContext, self: OwnerIdentity): PlanStore {
   const { clock, logger, writers } = context;
   const states = new Map<string, DomainState>();
 
-  /** The lease of a plan that was never seen counts from the first look at the domain. */
+  /** Creates the state of an unknown domain; its lease period counts from this first read. */
   function read(domain: string): DomainState {
     const known = states.get(domain);
     if (known !== undefined) return known;
@@ -71,7 +72,7 @@
     read,
     write,
     parse,
-    take: (objects) => {
+    merge: (objects) => {
       const now = clock.now();
       for (const object of objects) {
         const stored = parse(object);
--- a/src/entry/replicas/replicas-part.ts
+++ b/src/entry/replicas/replicas-part.ts
@@ -1,5 +1,5 @@
 /**
- * Plans the fabric domains that this entry owns and gives the engines their orders.
+ * Plans the fabric domains that this entry owns and sends orders to their engines.
  */
 import { createWatchLoop } from '../../adapters/platform/index.js';
 import { countEntries, findWatchPause } from '../../controllers/membership/index.js';
@@ -36,39 +36,38 @@
 } from '../../controllers/replicas/index.js';
 import type { StoredObject } from '../../objects/index.js';
 import type { EntryContext, Part } from '../types.js';
-import { createOrderSender, type ReportSink } from './order-sender.js';
+import { createOrderSender, type ReportHandler } from './order-sender.js';
 import { createPlanStore } from './plan-store.js';
 
-/** The part, and what the rest of the entry needs of it. */
+/** Plans replicas, and hands domains over when the entry stops. */
 export interface ReplicasPart extends Part {
-  /** Gives all domains away; no order is under way and none follows when it resolves. */
+  /** Hands over all domains. Once it resolves, no order is pending and none will be sent. */
   handOver(): Promise<void>;
-  /** Plans for an entry that cannot reach the platform. */
+  /** Returns the known plans, for an entry that cannot reach the platform. */
   exportPlans(): StoredObject[];
-  /** Plans that a peer passed on; older ones than those known are dropped. */
+  /** Merges plans from a peer; ignores those older than the known ones. */
   importPlans(objects: readonly StoredObject[]): void;
 }
 
-/** What the part can be given beside its context. */
 export interface ReplicasOptions {
-  /** Takes the reports that orders bring; `health` has one. */
-  keepReport: ReportSink;
+  /** Receives the reports that orders return, such as `HealthPart.keepReport`. */
+  keepReport: ReportHandler;
   estimates?: Partial<Estimates>;
 }
 
-/** A tick that comes later than this share of a lease means that the process stood still. */
-const PAUSE_SHARE = 0.5;
+/** A gap between ticks longer than this fraction of a lease means that the process was paused. */
+const PAUSE_LEASE_RATIO = 0.5;
 
 /**
- * Times the freshness bound that an engine must be unheard before it counts as lost. This entry has
- * asked it itself by then, whoever else probes it.
+ * Multiple of `freshMs` after which a silent engine counts as lost. By then this entry has probed
+ * it itself, even if another entry is its assigned prober.
  */
-const LOSS_RATIO = 1.1;
+const LOSS_FRESHNESS_RATIO = 1.1;
 
 type WriteAction = Extract<OwnerAction, { kind: 'write' }>;
 
 /**
- * The replicas part of an entry.
+ * Creates the replicas part of an entry.
  *
  * @example const replicas = createReplicasPart(context, { keepReport: health.keepReport });
  */
@@ -76,20 +75,20 @@
   const { board, clock, identity, logger, platform, random, settings } = context;
   const { leaseMs, orderTimeoutMs, planEveryMs } = settings.replicas;
   const self = { entry: identity.name, incarnation: identity.incarnation };
-  const lossMs = settings.health.freshMs * LOSS_RATIO;
+  const lossMs = settings.health.freshMs * LOSS_FRESHNESS_RATIO;
   const estimates = { ...DEFAULT_ESTIMATES, lossMs, ...options.estimates };
   const store = createPlanStore(context, self);
   const sender = createOrderSender(context, options.keepReport);
   const histories = new Map<string, LossHistory>();
-  const calls = new Map<string, Promise<void>>();
+  const pendingCalls = new Map<string, Promise<void>>();
   let timer: NodeJS.Timeout | undefined;
-  let writes = 0;
+  let writeCount = 0;
   let watchingSince = clock.now();
   let lastTickAt = clock.now();
   let isStopping = false;
-  /** All plans were read once; before that, a domain without a plan may just be unread. */
-  let isListed = false;
-  /** The last call about a plan failed; orders that need no lease may be sent. */
+  /** Whether all plans have been listed once; until then, a missing plan may just be unread. */
+  let hasListedPlans = false;
+  /** Whether the last plan call failed; if so, orders that need no lease may be sent. */
   let isPlatformDown = false;
 
   const watch = createWatchLoop({
@@ -100,20 +99,20 @@
     random,
     logger,
     onList: ({ objects }) => {
-      isListed = true;
-      store.take(objects);
+      hasListedPlans = true;
+      store.merge(objects);
     },
   });
 
   /**
-   * A process that was paused wakes with plans and reports of long ago. Everything is read again
-   * before a write or an order, and silence counts from now.
+   * After a process pause, plans and reports are outdated. Owned plans are read again before the
+   * next write or order, and the silence of engines counts from now.
    */
-  function noticePause(): void {
+  function detectPause(): void {
     const now = clock.now();
     const gapMs = now - lastTickAt;
     lastTickAt = now;
-    if (gapMs <= leaseMs * PAUSE_SHARE) return;
+    if (gapMs <= leaseMs * PAUSE_LEASE_RATIO) return;
     watchingSince = now;
     logger.log('ownerPaused', { gapMs: Math.round(gapMs) });
     isPlatformDown = false;
@@ -124,21 +123,21 @@
   }
 
   function tick(): void {
-    noticePause();
+    detectPause();
     if (isStopping) return;
     const domains = groupDomains(board.fleet.read(), board.health.read());
     const candidates = listCandidates();
-    const shares = splitShares(domains);
+    const shares = computeShares(domains);
     for (const [domain, members] of domains) {
-      if (calls.has(domain)) continue;
-      const order = rankOwners(locateDomain(domain, members), candidates);
-      const rank = order.indexOf(identity.name);
+      if (pendingCalls.has(domain)) continue;
+      const ranking = rankOwners(locateDomain(domain, members), candidates);
+      const rank = ranking.indexOf(identity.name);
       const share = shares.find((other) => other.domain === domain);
-      lookAtDomain(domain, members, rank, share);
+      processDomain(domain, members, rank, share);
     }
   }
 
-  function lookAtDomain(
+  function processDomain(
     domain: string,
     members: DomainMembers,
     rank: number,
@@ -146,18 +145,18 @@
   ): void {
     const state = store.read(domain);
     const now = clock.now();
-    const situation = { self, rank: isListed ? rank : undefined, leaseMs };
+    const situation = { self, rank: hasListedPlans ? rank : undefined, leaseMs };
     if (state.lease === undefined) {
-      perform(domain, decideOwnership(state, situation, undefined, now), []);
+      performAction(domain, decideOwnership(state, situation, undefined, now), []);
       return;
     }
-    const input = createInput(domain, members, state, share);
+    const input = createPlanInput(domain, members, state, share);
     const decision = planDomain(input, now);
     sendOrders(domain, input);
-    perform(domain, decideOwnership(state, situation, decision, now), decision.reasons);
+    performAction(domain, decideOwnership(state, situation, decision, now), decision.reasons);
   }
 
-  function createInput(
+  function createPlanInput(
     domain: string,
     members: DomainMembers,
     state: DomainState,
@@ -190,7 +189,7 @@
     return { attempts: attempts.read(), peers: peers.read(), health: health.read(), forgetMs };
   }
 
-  function splitShares(domains: ReadonlyMap<string, DomainMembers>): DomainShare[] {
+  function computeShares(domains: ReadonlyMap<string, DomainMembers>): DomainShare[] {
     const now = clock.now();
     const { models } = board.configuration.read();
     const values = new Map([...models].map(([name, { value }]) => [name, value]));
@@ -207,7 +206,7 @@
     return splitDemand(values, supplies);
   }
 
-  /** Entries that may own domains: those heard lately that stay. */
+  /** Entries that may own domains: this one and all live peers that are not stopping. */
   function listCandidates(): OwnerCandidate[] {
     const now = clock.now();
     const { instances } = board.fleet.read();
@@ -221,19 +220,23 @@
   }
 
   function sendOrders(domain: string, input: OrderInput): void {
-    const maySend = (): boolean => {
+    const mayOrderNow = (): boolean => {
       const { lease, mustRead } = store.read(domain);
       return !isStopping && !mustRead && mayOrder(lease, clock.now(), orderTimeoutMs);
     };
-    if (maySend()) {
-      for (const task of listOrders(input, clock.now())) sender.send(task, maySend);
+    if (mayOrderNow()) {
+      for (const task of listOrders(input, clock.now())) sender.send(task, mayOrderNow);
       return;
     }
     if (!isPlatformDown) return;
     for (const task of listRestoreOrders(input, clock.now())) sender.send(task, () => !isStopping);
   }
 
-  function perform(domain: string, action: OwnerAction, reasons: readonly PlanReason[]): void {
+  function performAction(
+    domain: string,
+    action: OwnerAction,
+    reasons: readonly PlanReason[],
+  ): void {
     switch (action.kind) {
       case 'none':
         return;
@@ -241,18 +244,18 @@
         logger.log('planRefused', { domain, faults: JSON.stringify(action.faults) });
         return;
       case 'read':
-        track(domain, readPlan(domain));
+        trackCall(domain, readPlan(domain));
         return;
       case 'write':
-        track(domain, writePlan(domain, action, reasons));
+        trackCall(domain, writePlan(domain, action, reasons));
         return;
     }
   }
 
-  function track(domain: string, call: Promise<void>): void {
-    calls.set(
+  function trackCall(domain: string, call: Promise<void>): void {
+    pendingCalls.set(
       domain,
-      call.finally(() => calls.delete(domain)),
+      call.finally(() => pendingCalls.delete(domain)),
     );
   }
 
@@ -261,7 +264,7 @@
     isPlatformDown = answer.isErr();
     if (answer.isErr()) return;
     const stored = answer.value === undefined ? undefined : store.parse(answer.value);
-    // An object that is there but cannot be used must not be overwritten as if it were absent.
+    // An existing but invalid object must not be overwritten as if it were absent.
     if (answer.value !== undefined && !answer.value.deleted && stored === undefined) return;
     store.write(domain, concludeRead(store.read(domain), stored, self, clock.now()));
   }
@@ -273,8 +276,8 @@
   ): Promise<void> {
     const { expected, plan, purpose } = action;
     const state = store.read(domain);
-    writes += 1;
-    const nonce = `${self.entry}/${self.incarnation}/${writes}`;
+    writeCount += 1;
+    const nonce = `${self.entry}/${self.incarnation}/${writeCount}`;
     const firstOrderAt = findOrderStart(state, purpose, orderTimeoutMs);
     const pending = { nonce, sentAt: clock.now(), purpose, firstOrderAt };
     store.write(domain, beginWrite(state, pending));
@@ -308,7 +311,7 @@
     logger.log('planWritten', { domain, fence, reasons: JSON.stringify(reasons) });
   }
 
-  async function giveAway(domain: string): Promise<void> {
+  async function handOverDomain(domain: string): Promise<void> {
     const action = decideHandOver(store.read(domain));
     if (action.kind === 'write') await writePlan(domain, action, []);
   }
@@ -316,9 +319,9 @@
   async function handOver(): Promise<void> {
     isStopping = true;
     clearInterval(timer);
-    await Promise.all(calls.values());
-    await sender.settle();
-    await Promise.all([...board.plans.read().keys()].map(giveAway));
+    await Promise.all(pendingCalls.values());
+    await sender.whenIdle();
+    await Promise.all([...board.plans.read().keys()].map(handOverDomain));
   }
 
   return {
@@ -332,13 +335,13 @@
       isStopping = true;
       clearInterval(timer);
       await watch.stop();
-      await Promise.all(calls.values());
-      await sender.settle();
+      await Promise.all(pendingCalls.values());
+      await sender.whenIdle();
     },
     handOver,
     exportPlans: () => store.exportObjects(),
     importPlans: (objects) => {
-      store.take(objects);
+      store.merge(objects);
     },
   };
 }
