--- a/src/entry/operations/create-operations.ts
+++ b/src/entry/operations/create-operations.ts
@@ -1,5 +1,5 @@
 /**
- * What operators can ask of an entry: change objects, and see what is in force.
+ * Operations of the operator interface: changing objects and reading the status of an entry.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { errAsync, okAsync, type ResultAsync } from 'neverthrow';
@@ -19,23 +19,26 @@
 import { createObjectWriter } from './object-writer.js';
 import { listDrains } from './drains.js';
 
-/** What operations rest on beside the context. */
-export interface OperationParts {
+/** The parts of an entry that operations use. */
+export interface OperationDependencies {
   configuration: ConfigurationPart;
   membership: MembershipPart;
   readiness: Operations['readiness'];
   metrics: Operations['metrics'];
 }
 
-const ACCEPTANCE_CHECK_MS = 50;
+const ACCEPTANCE_POLL_MS = 50;
 
-/** The operations of one entry. */
-export function createOperations(context: EntryContext, parts: OperationParts): Operations {
+/** Creates the operations of one entry. */
+export function createOperations(
+  context: EntryContext,
+  dependencies: OperationDependencies,
+): Operations {
   const { board, clock, identity, platform, settings } = context;
-  const { configuration, membership } = parts;
-  const writer = createObjectWriter(context, parts);
+  const { configuration, membership } = dependencies;
+  const writer = createObjectWriter(context, dependencies);
 
-  const judge = (revision: number): Acceptance =>
+  const checkAcceptance = (revision: number): Acceptance =>
     judgeAcceptance({
       revision,
       self: {
@@ -53,8 +56,8 @@
     const now = clock.now();
     const { revision, rejected, confirmedAt } = board.configuration.read();
     const view = readServingView(board, settings.health.freshMs);
-    const failure = parts.readiness();
-    const acceptance = judge(revision);
+    const failure = dependencies.readiness();
+    const acceptance = checkAcceptance(revision);
     return {
       entry: {
         name: identity.name,
@@ -91,23 +94,23 @@
       platform
         .read(kind, name)
         .mapErr(toRefusal)
-        .andThen((object) => requireLive(name, object)),
+        .andThen((object) => requireExisting(name, object)),
     apply: writer.apply,
     label: writer.label,
     drain: writer.drain,
     acceptance: async (revision, waitMs, signal) => {
-      const endAt = clock.now() + waitMs;
-      let acceptance = judge(revision);
-      while (acceptance.kind === 'pending' && clock.now() < endAt && !signal.aborted) {
-        await sleep(ACCEPTANCE_CHECK_MS);
-        acceptance = judge(revision);
+      const deadlineAt = clock.now() + waitMs;
+      let acceptance = checkAcceptance(revision);
+      while (acceptance.kind === 'pending' && clock.now() < deadlineAt && !signal.aborted) {
+        await sleep(ACCEPTANCE_POLL_MS);
+        acceptance = checkAcceptance(revision);
       }
       return acceptance;
     },
     drains: () => listDrains(context, membership),
     status,
-    readiness: parts.readiness,
-    metrics: parts.metrics,
+    readiness: dependencies.readiness,
+    metrics: dependencies.metrics,
   };
 }
 
@@ -115,7 +118,7 @@
   return { failure };
 }
 
-function requireLive(
+function requireExisting(
   name: string,
   object: StoredObject | undefined,
 ): ResultAsync<StoredObject, Refusal> {
--- a/src/entry/operations/drains.ts
+++ b/src/entry/operations/drains.ts
@@ -1,5 +1,5 @@
 /**
- * What drains at the moment, and what keeps each target from being stopped.
+ * Lists the targets that are draining and why each can't be stopped yet.
  */
 import type { DrainStatus } from '../../adapters/operators/index.js';
 import type { Health, Plans } from '../../board/index.js';
@@ -8,7 +8,7 @@
 import type { MembershipPart } from '../membership/index.js';
 import type { EntryContext } from '../types.js';
 
-/** All targets that this entry knows to be draining. */
+/** Lists all targets that this entry knows to be draining. */
 export function listDrains(
   { board, identity }: EntryContext,
   membership: Pick<MembershipPart, 'summaries'>,
@@ -17,26 +17,26 @@
   const plans = board.plans.read();
   const peers = board.peers.read();
   const health = board.health.read();
-  const entries = listSendingEntries(fleet, peers);
-  return listDraining(fleet, plans, board.attempts.read()).map(({ target, count }) => {
+  const sendingEntries = listSendingEntries(fleet, peers);
+  return listDraining(fleet, plans, board.attempts.read()).map(({ target, count: inFlight }) => {
     const instance = fleet.instances.get(target);
-    const reported =
+    const reportedInFlight =
       instance === undefined
         ? readReplicaCount(plans, health, target)
         : readInstanceCount(plans, health, target, instance.role);
     const judgement = judgeDrain({
       target,
-      self: { name: identity.name, failureDomain: identity.failureDomain, inFlight: count },
-      entries,
+      self: { name: identity.name, failureDomain: identity.failureDomain, inFlight: inFlight },
+      entries: sendingEntries,
       peers,
       summaries: membership.summaries(),
-      reported,
+      reported: reportedInFlight,
     });
     return { target, kind: instance === undefined ? 'replica' : 'instance', judgement };
   });
 }
 
-/** Only the leader of a replica takes requests. */
+/** Reads the count from the leader of a replica, the only member that receives requests. */
 function readReplicaCount(plans: Plans, health: Health, id: string): number | undefined {
   const replica = listReplicas(plans).find((candidate) => candidate.id === id);
   const report = health.get(replica?.members[0]?.instance ?? '')?.report;
@@ -44,8 +44,8 @@
 }
 
 /**
- * Plain services report no count, so the entries' word is all there is. An engine that is still a
- * member of a replica must not be stopped, whatever is in flight.
+ * Returns 0 for plain services, which report no count, so that only the counts of entries apply. An
+ * engine that is still a member of a replica has no count, since it must not be stopped.
  */
 function readInstanceCount(
   plans: Plans,
--- a/src/entry/operations/object-writer.ts
+++ b/src/entry/operations/object-writer.ts
@@ -1,6 +1,6 @@
 /**
- * Conditional writes for operators. Each is based on a version: the one that the operator names,
- * or the one that is current. Of two operators who race, the loser is told which version won.
+ * Conditional writes for operators. Each write expects a version: the one given by the operator or
+ * the current one. On a conflict, the operator receives the version that was written first.
  */
 import { randomUUID } from 'node:crypto';
 import { err, errAsync, ok, okAsync, ResultAsync, type Result } from 'neverthrow';
@@ -30,29 +30,29 @@
 import type { MembershipPart } from '../membership/index.js';
 import type { EntryContext } from '../types.js';
 
-/** Changes that commute with others, such as of one label, are made again after a conflict. */
-const MERGE_ATTEMPTS = 4;
+/** Attempts at a change that is recomputed after a conflict, such as a change of labels. */
+const MAX_MERGE_ATTEMPTS = 4;
 
-/** What the writer tells of a change, so that it counts here and at the peers at once. */
-export interface WriterParts {
+/** The parts that apply a written change here and pass it to peers without delay. */
+export interface WriterDependencies {
   configuration: Pick<ConfigurationPart, 'merge'>;
   membership: Pick<MembershipPart, 'markLeaving'>;
 }
 
-/** How a changed value follows from the current object. */
-type Change = (current: StoredObject | undefined) => Result<ValidObject, Refusal>;
+/** Computes the new value from the current object. */
+type ComputeChange = (current: StoredObject | undefined) => Result<ValidObject, Refusal>;
 
 interface MergeRequest {
   kind: ObjectKind;
   name: string;
   expected?: number;
-  change: Change;
+  computeChange: ComputeChange;
 }
 
-/** The writes of one entry's operators. */
+/** Creates the write operations of one entry. */
 export function createObjectWriter(
   context: EntryContext,
-  parts: WriterParts,
+  dependencies: WriterDependencies,
 ): Pick<Operations, 'apply' | 'label' | 'drain'> {
   const { board, logger, platform } = context;
 
@@ -71,7 +71,7 @@
         }
         const { object } = outcome;
         const { version } = object;
-        parts.configuration.merge({ since: version, revision: version, objects: [object] });
+        dependencies.configuration.merge({ since: version, revision: version, objects: [object] });
         logger.log('objectWritten', { kind: object.kind, object: object.name, version });
         return ok(object);
       });
@@ -104,16 +104,16 @@
   };
 
   const merge = (request: MergeRequest, attempt = 1): ResultAsync<AppliedChange, Refusal> => {
-    const { kind, name, change } = request;
+    const { kind, name, computeChange: change } = request;
     return read(kind, name).andThen((current) =>
       change(current).asyncAndThen(({ value, warnings }) => {
         const expected = request.expected ?? current?.version ?? 0;
         return write({ kind, name, expected, nonce: randomUUID(), value })
           .map((object) => ({ object, warnings }))
           .orElse((refusal) => {
-            const isRace = refusal.failure.kind === 'versionConflict';
-            const mayRepeat = request.expected === undefined && attempt < MERGE_ATTEMPTS;
-            return isRace && mayRepeat ? merge(request, attempt + 1) : errAsync(refusal);
+            const isConflict = refusal.failure.kind === 'versionConflict';
+            const mayRetry = request.expected === undefined && attempt < MAX_MERGE_ATTEMPTS;
+            return isConflict && mayRetry ? merge(request, attempt + 1) : errAsync(refusal);
           });
       }),
     );
@@ -125,8 +125,8 @@
       kind,
       name,
       ...(expected === undefined ? {} : { expected }),
-      change: (current) =>
-        relabel(current, change).andThen((value) =>
+      computeChange: (current) =>
+        mergeLabels(current, change).andThen((value) =>
           kind === 'instance' ? ok({ value, warnings: [] }) : validate({ kind, name, value }),
         ),
     });
@@ -136,20 +136,20 @@
     merge({
       kind: 'instance',
       name: instance,
-      change: (current) =>
+      computeChange: (current) =>
         readValue(current, instance).map((value) => ({
           value: { ...instanceSchema.parse(value), state: 'leaving' },
           warnings: [],
         })),
     }).map((applied) => {
-      parts.membership.markLeaving(instance, applied.object.version);
+      dependencies.membership.markLeaving(instance, applied.object.version);
       return applied;
     });
 
   return { apply, label, drain };
 }
 
-function relabel(
+function mergeLabels(
   current: StoredObject | undefined,
   { name, labels }: LabelChange,
 ): Result<object, Refusal> {
@@ -160,7 +160,7 @@
   });
 }
 
-/** The value of a live object that is valid for its kind. */
+/** Returns the value of an existing object if it is valid for its kind. */
 function readValue(current: StoredObject | undefined, name: string): Result<object, Refusal> {
   if (current === undefined || current.deleted) return err(describeMissing(name));
   const parsed = OBJECT_SCHEMAS[current.kind].safeParse(current.value);
@@ -184,8 +184,11 @@
   { kind, name }: PlatformWrite,
   current: StoredObject | undefined,
 ): Refusal {
-  const won = current?.version ?? 0;
-  const failure = createFailure('versionConflict', { name: `${kind} "${name}"`, won });
+  const currentVersion = current?.version ?? 0;
+  const failure = createFailure('versionConflict', {
+    name: `${kind} "${name}"`,
+    won: currentVersion,
+  });
   return current === undefined ? { failure } : { failure, current };
 }
 
