--- a/src/entry/create-entry.ts
+++ b/src/entry/create-entry.ts
@@ -1,8 +1,8 @@
 /**
- * One entry, put together from its parts.
+ * Assembles and starts an entry.
  *
- * The peer listener comes first, since the entry's own digest names its address; the listener for
- * callers comes last, when everything behind it runs. A stop goes the other way round.
+ * The peer listener opens first, since the entry's own digest contains its address. The listener
+ * for callers opens last, once all parts are running.
  */
 import { randomBytes, randomInt } from 'node:crypto';
 import { err, ResultAsync } from 'neverthrow';
@@ -34,18 +34,18 @@
 import { createOperations } from './operations/index.js';
 import { createReplicasPart } from './replicas/index.js';
 import { createRequests } from './requests/index.js';
-import { abandonEntry, stopEntry } from './stop-entry.js';
+import { abortEntryStart, stopEntry } from './stop-entry.js';
 import type { EntryParts, RunningEntry } from './running-entry.js';
 import type { EntryContext } from './types.js';
 
-/** Enough that no two starts of an entry share one; every digest carries it, so it is short. */
+/** Makes incarnations unique; kept short, since every digest contains one. */
 const INCARNATION_BYTES = 9;
 const MAX_SEED = 2 ** 31 - 1;
-/** Longest call to another entry; longer than the longest way between regions by far. */
+/** Timeout of a call to another entry, far above the latency between regions. */
 const PEER_TIMEOUT_MS = 2_000;
 
 /**
- * Starts an entry and resolves when it listens. It is ready for callers when `/readyz` says so.
+ * Starts an entry and resolves once it listens. `/readyz` tells when it is ready for callers.
  * Fails with `unreachable` when one of its addresses can't be bound.
  *
  * @example
@@ -55,39 +55,39 @@
 export function createEntry(
   settings: EntrySettings,
 ): ResultAsync<RunningEntry, Failure<'unreachable'>> {
-  const late: LateParts = {};
+  const deferred: DeferredParts = {};
   const peerServer = createPeerServer({
     address: settings.listen.peers,
-    handlers: createLateHandlers(late),
-    onSent: (bytes) => late.countSent?.(bytes),
+    handlers: createDeferredHandlers(deferred),
+    onSent: (bytes) => deferred.countSent?.(bytes),
   });
-  return peerServer.listen().andThen((bound) => {
-    const context = createContext(settings, settings.listen.advertisedPeers ?? bound);
-    return openEntry(context, peerServer, late);
+  return peerServer.listen().andThen((boundAddress) => {
+    const context = createContext(settings, settings.listen.advertisedPeers ?? boundAddress);
+    return startEntry(context, peerServer, deferred);
   });
 }
 
-function openEntry(
-  context: EntryContext & Connections,
+function startEntry(
+  context: EntryContext & EntryResources,
   peerServer: RpcListener,
-  late: LateParts,
+  deferred: DeferredParts,
 ): ResultAsync<RunningEntry, Failure<'unreachable'>> {
-  const parts = createParts(context, peerServer, (bytes) => late.countSent?.(bytes));
-  late.handlers = parts.membership.handlers;
-  late.countSent = (bytes) => {
+  const parts = createParts(context, peerServer, (bytes) => deferred.countSent?.(bytes));
+  deferred.handlers = parts.membership.handlers;
+  deferred.countSent = (bytes) => {
     parts.membership.countSent(bytes);
   };
   for (const part of listInStartOrder(parts)) part.start();
   return parts.operators
     .listen()
     .andThen((operators) => parts.callers.listen().map((callers) => ({ operators, callers })))
-    .map(({ operators, callers }) => describeEntry(context, parts, operators, callers))
+    .map(({ operators, callers }) => createRunningEntry(context, parts, operators, callers))
     .orElse((failure) =>
-      ResultAsync.fromSafePromise(abandonEntry(parts)).andThen(() => err(failure)),
+      ResultAsync.fromSafePromise(abortEntryStart(parts)).andThen(() => err(failure)),
     );
 }
 
-function describeEntry(
+function createRunningEntry(
   context: EntryContext,
   parts: EntryParts,
   operatorsAddress: string,
@@ -103,32 +103,35 @@
   };
 }
 
-/** The clients whose connections end with the entry, and the count of what waits in it. */
-interface Connections {
+/** Clients that are closed with the entry, and the count of unread bytes held in memory. */
+interface EntryResources {
   platform: PlatformClient;
   engines: EngineClient;
-  unread: HeldBytes;
+  unreadBytes: HeldBytes;
 }
 
-/** What exists only after the peer listener is open, since it needs that listener's address. */
-interface LateParts {
+/** Created only after the peer listener is open, since they need its address. */
+interface DeferredParts {
   handlers?: PeerHandlers;
   countSent?: (bytes: number) => void;
 }
 
-/** Peers may call as soon as the listener is open, a moment before the part behind it exists. */
-function createLateHandlers(late: LateParts): PeerHandlers {
-  const resolve = (): PeerHandlers => {
-    if (late.handlers === undefined) throw new Error('the entry is still starting');
-    return late.handlers;
+/** Creates handlers that reject the calls of peers until the membership part exists. */
+function createDeferredHandlers(deferred: DeferredParts): PeerHandlers {
+  const getHandlers = (): PeerHandlers => {
+    if (deferred.handlers === undefined) throw new Error('the entry is still starting');
+    return deferred.handlers;
   };
   return {
-    exchange: (message) => resolve().exchange(message),
-    changesSince: (since) => resolve().changesSince(since),
+    exchange: (message) => getHandlers().exchange(message),
+    changesSince: (since) => getHandlers().changesSince(since),
   };
 }
 
-function createContext(settings: EntrySettings, peerAddress: string): EntryContext & Connections {
+function createContext(
+  settings: EntrySettings,
+  peerAddress: string,
+): EntryContext & EntryResources {
   const { name, region, failureDomain } = settings;
   const board = createBoard();
   const logger = createLogger(name, settings.logLevel);
@@ -154,12 +157,12 @@
     logger,
     platform,
     engines,
-    unread,
+    unreadBytes: unread,
   };
 }
 
 function createParts(
-  context: EntryContext & Connections,
+  context: EntryContext & EntryResources,
   peerServer: RpcListener,
   countSent: (bytes: number) => void,
 ): EntryParts {
@@ -187,7 +190,7 @@
   });
   const onceCalls = createOnceCalls(context);
   const services = createServices();
-  const metrics = createMetrics(context.unread);
+  const metrics = createMetrics(context.unreadBytes);
   const eligible = createEligibleReplicas(board, settings.health.freshMs);
   const requests = createRequests(context, {
     services,
@@ -199,7 +202,7 @@
     hasBeenReady: createLatch(() => membership.readiness().kind === 'ready'),
   });
   const readiness = (): Failure<'notReady' | 'stopping'> | undefined => {
-    if (parts.isLeaving) return createFailure('stopping');
+    if (parts.isStopping) return createFailure('stopping');
     const state = membership.readiness();
     return state.kind === 'ready' ? undefined : createFailure('notReady', { reason: state.reason });
   };
@@ -208,8 +211,8 @@
     settings: settings.callers,
     path: requests.path,
     readiness,
-    isStopping: () => parts.isLeaving,
-    unread: context.unread,
+    isStopping: () => parts.isStopping,
+    unread: context.unreadBytes,
     logger,
   });
   const operations = createOperations(context, {
@@ -231,7 +234,7 @@
     operators,
     clients: [services, peers, context.platform, context.engines],
     peerServer,
-    isLeaving: false,
+    isStopping: false,
   };
   return parts;
 }
@@ -241,11 +244,11 @@
   return [configuration, membership, health, limits, replicas, onceCalls, requests];
 }
 
-/** Answers true from the first time on that `isReached` did. */
-function createLatch(isReached: () => boolean): () => boolean {
-  let reached = false;
+/** Returns a function that stays true once `condition` has been true in one of its calls. */
+function createLatch(condition: () => boolean): () => boolean {
+  let hasBeenTrue = false;
   return () => {
-    reached ||= isReached();
-    return reached;
+    hasBeenTrue ||= condition();
+    return hasBeenTrue;
   };
 }
--- a/src/entry/running-entry.ts
+++ b/src/entry/running-entry.ts
@@ -1,5 +1,5 @@
 /**
- * One running entry: its parts, and what its starter can do with it.
+ * Types of a running entry: its parts and its public interface.
  */
 import type { Callers } from '../adapters/callers/index.js';
 import type { Operators } from '../adapters/operators/index.js';
@@ -13,12 +13,12 @@
 import type { Requests } from './requests/index.js';
 import type { Part } from './types.js';
 
-/** Something that holds connections. */
+/** A client or server that holds connections. */
 export interface Closable {
   close(): Promise<void>;
 }
 
-/** The parts of one running entry, and how far its stop has come. */
+/** The parts of one running entry and the state of its shutdown. */
 export interface EntryParts {
   configuration: ConfigurationPart;
   membership: MembershipPart;
@@ -29,20 +29,21 @@
   requests: Requests;
   callers: Callers;
   operators: Operators;
-  /** Whatever holds connections to others. */
+  /** Clients to close when the entry stops. */
   clients: readonly Closable[];
   peerServer: RpcListener;
-  /** The entry has been told to stop: the balancer and the other entries are to know. */
-  isLeaving: boolean;
-  stopped?: Promise<void>;
+  /** Whether a stop was requested; readiness checks then fail. */
+  isStopping: boolean;
+  /** Resolves when the stop has completed; undefined until one is requested. */
+  stopCompleted?: Promise<void>;
 }
 
-/** An entry that listens. */
+/** An entry whose listeners are open. */
 export interface RunningEntry {
-  /** `host:port` each. */
+  /** Addresses are of the form `host:port`. */
   callersAddress: string;
   operatorsAddress: string;
   peersAddress: string;
-  /** Finishes what is in flight, then ends. */
+  /** Finishes the requests in flight, then stops the entry. */
   stop(): Promise<void>;
 }
--- a/src/entry/stop-entry.ts
+++ b/src/entry/stop-entry.ts
@@ -1,27 +1,27 @@
 /**
- * The planned stop of an entry: it cuts off no request in flight.
+ * The graceful shutdown of an entry, which lets requests in flight finish within a time limit.
  *
- * First the balancer and the other entries learn that this one leaves and its fabric domains are
- * given away; new callers are still served while the balancer has not noticed. Then new requests
- * are refused, and everything accepted is finished. The digest goes on until the end, since others
- * wait for its counts of requests in flight before they stop a backend server.
+ * First the load balancer and the other entries are notified and the fabric domains handed over;
+ * new requests are still accepted until the load balancer has reacted. Then new requests are
+ * refused and accepted ones finished. Digests are sent until the end, since others wait for their
+ * counts of requests in flight before they stop a backend server.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Milliseconds } from '../core/clock/index.js';
 import type { EntryParts } from './running-entry.js';
 import type { EntryContext } from './types.js';
 
-/** How long other entries are waited for to learn that this one has gone. */
-const FAREWELL_MS = 2_000;
+/** Maximum wait for peers to receive the last digest. */
+const DIGEST_DELIVERY_TIMEOUT_MS = 2_000;
 
-/** Ends the entry in order; a second call waits for the first. */
+/** Stops the entry gracefully; repeated calls return the same promise. */
 export function stopEntry(context: EntryContext, parts: EntryParts): Promise<void> {
-  parts.stopped ??= performStop(context, parts);
-  return parts.stopped;
+  parts.stopCompleted ??= performStop(context, parts);
+  return parts.stopCompleted;
 }
 
-/** Ends an entry that could not open all its listeners; it never had a caller. */
-export async function abandonEntry(parts: EntryParts): Promise<void> {
+/** Stops an entry that failed to open all its listeners, and so has accepted no requests. */
+export async function abortEntryStart(parts: EntryParts): Promise<void> {
   await parts.onceCalls.stop();
   await stopParts(parts);
   await closeConnections(parts);
@@ -31,18 +31,18 @@
   const { logger, settings } = context;
   const { balancerMs, drainMs } = settings.stopping;
   logger.log('entryStopping');
-  parts.isLeaving = true;
+  parts.isStopping = true;
   parts.membership.announceStopping();
-  // Not waited for before requests are refused: while the platform is silent, requests would be taken
-  // for seconds beyond the balancer's span, which whoever kills the process in the end doesn't grant.
-  const handedOver = parts.replicas.handOver();
+  // Awaited only later: while the platform is unreachable, waiting here would extend the time in
+  // which requests are accepted beyond `balancerMs`, and the process could be killed meanwhile.
+  const handOver = parts.replicas.handOver();
   await sleep(balancerMs);
   parts.requests.beginStopping();
-  const isFinished = await endsWithin(finishRequests(parts, balancerMs), drainMs);
+  const isFinished = await finishesWithin(finishRequests(parts, balancerMs), drainMs);
   if (!isFinished) parts.requests.noteCut();
   await parts.callers.close();
-  await Promise.all([handedOver, parts.onceCalls.stop()]);
-  await parts.membership.whenHandedOver(FAREWELL_MS);
+  await Promise.all([handOver, parts.onceCalls.stop()]);
+  await parts.membership.whenHandedOver(DIGEST_DELIVERY_TIMEOUT_MS);
   await stopParts(parts);
   await closeConnections(parts);
   logger.log('entryStopped');
@@ -55,12 +55,12 @@
   await Promise.all([callers.drain(graceMs), requests.whenIdle()]);
 }
 
-/** Whether `work` ended in time: a caller that never takes its answer must not hold a stop up. */
-async function endsWithin(work: Promise<void>, limitMs: Milliseconds): Promise<boolean> {
-  const ended = new AbortController();
-  const limit = sleep(limitMs, false, { signal: ended.signal }).catch(() => false);
-  const isDone = await Promise.race([work.then(() => true), limit]);
-  ended.abort();
+/** Whether `work` finished in time; a caller that never reads its answer must not block a stop. */
+async function finishesWithin(work: Promise<void>, timeoutMs: Milliseconds): Promise<boolean> {
+  const timeoutController = new AbortController();
+  const timeout = sleep(timeoutMs, false, { signal: timeoutController.signal }).catch(() => false);
+  const isDone = await Promise.race([work.then(() => true), timeout]);
+  timeoutController.abort();
   return isDone;
 }
 
--- a/src/entry/types.ts
+++ b/src/entry/types.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of one entry are given when the entry is put together.
+ * Types shared by the parts of an entry.
  */
 import type { Engines } from '../adapters/engines/types.js';
 import type { Platform } from '../adapters/platform/types.js';
@@ -9,7 +9,7 @@
 import type { Random } from '../core/random/index.js';
 import type { EntrySettings } from '../core/settings/index.js';
 
-/** Which entry this is; a restart has another incarnation. */
+/** Identifies an entry; each start has a new incarnation. */
 export interface EntryIdentity {
   name: string;
   incarnation: string;
@@ -21,7 +21,7 @@
   failureDomain: string;
 }
 
-/** Built once at the rim and passed to every part. */
+/** Dependencies of the parts, created once per entry and passed to each. */
 export interface EntryContext {
   identity: EntryIdentity;
   settings: EntrySettings;
@@ -34,9 +34,9 @@
   engines: Engines;
 }
 
-/** A part of the entry that runs on its own: a loop that feeds a decision and performs its actions. */
+/** A component of the entry with its own lifecycle, such as a loop that performs actions. */
 export interface Part {
   start(): void;
-  /** Ends its loops; resolves when none of its calls is under way. */
+  /** Stops its loops; resolves when none of its calls is in progress. */
   stop(): Promise<void>;
 }
