--- a/src/entry/configuration/create-configuration.ts
+++ b/src/entry/configuration/create-configuration.ts
@@ -43,9 +43,9 @@
   const activeCalls = { pull: Promise.resolve(), isPulling: false, isProbing: false };
 
   const merge = (changes: ObjectChanges): void => {
-    const before = state;
+    const previous = state;
     state = mergeObjects(state, changes);
-    if (state === before) return;
+    if (state === previous) return;
     newestVersion = findNewest(state);
     writers.configuration.write(composeConfiguration(state, confirmedAt));
     logger.log('configurationInForce', { revision: state.revision });
--- a/src/entry/health/health-part.ts
+++ b/src/entry/health/health-part.ts
@@ -57,11 +57,11 @@
     readAssigned: () => assignedEngines,
     readFailing: () => locallyFailing,
     keep: (health, load, failures) => {
-      for (const [name, known] of health) pendingHealth.set(name, known);
-      for (const [id, known] of load) {
-        const before = pendingLoads.get(id) ?? board.load.read().get(id);
-        if (before === undefined || before.measuredAt < known.measuredAt)
-          pendingLoads.set(id, known);
+      for (const [name, received] of health) pendingHealth.set(name, received);
+      for (const [id, received] of load) {
+        const previous = pendingLoads.get(id) ?? board.load.read().get(id);
+        if (previous === undefined || previous.measuredAt < received.measuredAt)
+          pendingLoads.set(id, received);
       }
       for (const instance of failures) logger.log('instanceFailing', { instance });
       if (failures.length > 0) flush();
--- a/src/entry/membership/create-membership.ts
+++ b/src/entry/membership/create-membership.ts
@@ -72,12 +72,13 @@
   const { state } = self;
 
   const publishPeers = (): void => {
-    const before = writers.peers.read();
-    const after = listPeers(state, forgetMs, clock.now());
-    writers.peers.write(after);
-    for (const name of after.keys()) if (!before.has(name)) logger.log('peerHeard', { peer: name });
-    for (const name of before.keys())
-      if (!after.has(name)) logger.log('peerSilent', { peer: name });
+    const previousPeers = writers.peers.read();
+    const livePeers = listPeers(state, forgetMs, clock.now());
+    writers.peers.write(livePeers);
+    for (const name of livePeers.keys())
+      if (!previousPeers.has(name)) logger.log('peerHeard', { peer: name });
+    for (const name of previousPeers.keys())
+      if (!livePeers.has(name)) logger.log('peerSilent', { peer: name });
   };
   const processReceipt = (receipt: Receipt): void => {
     const now = clock.now();
--- a/src/entry/membership/fleet-writer.ts
+++ b/src/entry/membership/fleet-writer.ts
@@ -41,17 +41,17 @@
   const update = (): void => {
     const { instances } = configuration;
     marks = updateMarks(marks, instances.read(), board.health.read(), clock.now());
-    const before = writers.fleet.read();
-    const after = composeFleet(instances.read(), marks);
+    const previous = writers.fleet.read();
+    const next = composeFleet(instances.read(), marks);
     const hasSameLeaving =
-      before.leaving.size === after.leaving.size &&
-      [...after.leaving].every((name) => before.leaving.has(name));
+      previous.leaving.size === next.leaving.size &&
+      [...next.leaving].every((name) => previous.leaving.has(name));
     if (hasSameLeaving && writtenListVersion === instances.version()) return;
     writtenListVersion = instances.version();
-    for (const name of after.leaving) {
-      if (!before.leaving.has(name)) logger.log('instanceLeaving', { instance: name });
+    for (const name of next.leaving) {
+      if (!previous.leaving.has(name)) logger.log('instanceLeaving', { instance: name });
     }
-    writers.fleet.write(after);
+    writers.fleet.write(next);
   };
 
   return {
@@ -66,9 +66,9 @@
       clearTimeout(timer);
     },
     mergeMarks: (peerMarks) => {
-      const before = marks;
+      const previous = marks;
       marks = adoptMarks(marks, peerMarks, clock.now());
-      if (marks !== before) update();
+      if (marks !== previous) update();
     },
     currentMarks: () => listMarks(marks),
   };
--- a/src/entry/operations/object-writer.ts
+++ b/src/entry/operations/object-writer.ts
@@ -154,8 +154,10 @@
   { name, labels }: LabelChange,
 ): Result<object, Refusal> {
   return readValue(current, name).map((value) => {
-    const before = labelsSchema.catch({}).parse('labels' in value ? value.labels : {});
-    const merged = Object.entries({ ...before, ...labels }).filter(([, text]) => text !== null);
+    const currentLabels = labelsSchema.catch({}).parse('labels' in value ? value.labels : {});
+    const merged = Object.entries({ ...currentLabels, ...labels }).filter(
+      ([, text]) => text !== null,
+    );
     return { ...value, labels: Object.fromEntries(merged) };
   });
 }
--- a/src/entry/replicas/plan-store.ts
+++ b/src/entry/replicas/plan-store.ts
@@ -53,9 +53,9 @@
   }
 
   function write(domain: string, state: DomainState): void {
-    const before = states.get(domain)?.stored?.version;
+    const previousVersion = states.get(domain)?.stored?.version;
     states.set(domain, state);
-    if (state.stored?.version !== before) publish();
+    if (state.stored?.version !== previousVersion) publish();
   }
 
   function parse(object: StoredObject): StoredPlan | undefined {
--- a/src/entry/replicas/replicas-part.ts
+++ b/src/entry/replicas/replicas-part.ts
@@ -166,8 +166,8 @@
     const { models, policy } = board.configuration.read();
     const plan = state.stored?.plan ?? { fence: 0, replicas: [], spares: [] };
     const timing = { estimates, watchingSince };
-    const before = histories.get(domain) ?? new Map();
-    const history = updateHistory({ ...timing, members, history: before }, now);
+    const previous = histories.get(domain) ?? new Map();
+    const history = updateHistory({ ...timing, members, history: previous }, now);
     histories.set(domain, history);
     return {
       ...timing,
