--- a/bench/calls/ways.ts
+++ b/bench/calls/ways.ts
@@ -12,7 +12,7 @@
   nameRecord,
   stepCall,
   type CallEvent,
-  type CallFacts,
+  type CallContext,
   type CallStep,
   type OnceCall,
   type OnceCalls,
@@ -104,7 +104,7 @@
 
 function createDirectCalls(platform: Platform, index: number): OnceCalls {
   const clock = createSystemClock();
-  const facts = (): CallFacts => ({
+  const facts = (): CallContext => ({
     now: clock.now(),
     claimant: { entry: `entry-${index}`, incarnation: '1' },
     createNonce: randomUUID,
@@ -143,7 +143,8 @@
 async function write(platform: Platform, write: PlatformWrite): Promise<CallEvent> {
   const { nonce } = write;
   const result = await platform.writeBatch([write]);
-  if (result.isErr()) return { kind: 'writeFailed', nonce, failure: result.error, left: false };
+  if (result.isErr())
+    return { kind: 'writeFailed', nonce, failure: result.error, mayTakeEffect: false };
   const [outcome] = result.value;
   return outcome?.kind === 'written'
     ? { kind: 'written', nonce, version: outcome.object.version }
--- a/bench/decision.ts
+++ b/bench/decision.ts
@@ -76,10 +76,10 @@
   const prefixes = Array.from({ length: TEMPLATES }, (_, template) => templatePrefixes(template));
   let candidates = listCandidates(count, 0);
   const view: DispatchView = {
-    here: { region: 'region-0', failureDomain: 'domain-0' },
+    entryLocation: { region: 'region-0', failureDomain: 'domain-0' },
     candidatesOf: () => candidates,
     peersSent: [],
-    entries: 8,
+    entryCount: 8,
   };
   const spans: number[] = [];
   for (let index = 0; index < WARM_UP + DECISIONS; index += 1) {
--- a/bench/plan/domain-run.ts
+++ b/bench/plan/domain-run.ts
@@ -5,13 +5,13 @@
 import type { Milliseconds } from '../../src/core/clock/index.js';
 import { recordFailure, recordReport } from '../../src/controllers/health/index.js';
 import {
-  checkPlanStep,
+  checkPlanTransition,
   DEFAULT_ESTIMATES,
-  listDrained,
+  listDrainedReplicas,
   listOrders,
   planDomain,
   splitDemand,
-  updateHistory,
+  updateLossHistory,
   type DomainInput,
   type DomainMember,
   type Estimates,
@@ -74,10 +74,10 @@
   function createInput(now: Milliseconds): DomainInput {
     const members = readMembers();
     const timing = { estimates, watchingSince: Number.NEGATIVE_INFINITY };
-    history = updateHistory({ ...timing, members, history }, now);
+    history = updateLossHistory({ ...timing, members, history }, now);
     const attempts = { inFlight: new Map<string, number>(), sent: [], demands: [] };
     const view = { attempts, peers: new Map(), health, forgetMs: 0 };
-    const drained = listDrained(plan, view, now);
+    const drained = listDrainedReplicas(plan, view, now);
     const supply = {
       name: domain,
       groups: [{ labels: {}, count: world.engines.size }],
@@ -104,7 +104,7 @@
       const startedAt = performance.now();
       const decision = planDomain(input, now);
       planMs.push(performance.now() - startedAt);
-      const faults = checkPlanStep(plan, decision.plan);
+      const faults = checkPlanTransition(plan, decision.plan);
       if (faults.length > 0) throw new Error(`plan breaks rules: ${JSON.stringify(faults)}`);
       isChanged = decision.changed;
       plan = decision.plan;
--- a/bench/relay/entry.ts
+++ b/bench/relay/entry.ts
@@ -10,7 +10,7 @@
 import type { EligibleReplicas } from '../../src/controllers/health/index.js';
 import type { Candidate } from '../../src/controllers/routing/index.js';
 import { createSystemClock } from '../../src/core/clock/index.js';
-import { createHeldBytes } from '../../src/core/held-bytes/index.js';
+import { createBufferedBytesTracker } from '../../src/core/buffered-bytes/index.js';
 import { silentLogger } from '../../src/core/logger/index.js';
 import { createMetrics } from '../../src/core/metrics/index.js';
 import { createRandom } from '../../src/core/random/index.js';
@@ -48,7 +48,7 @@
     path: requests.path,
     readiness: () => undefined,
     isStopping: () => false,
-    unread: createHeldBytes(),
+    unread: createBufferedBytesTracker(),
     logger: silentLogger,
   });
 }
--- a/bench/routing/balancers.ts
+++ b/bench/routing/balancers.ts
@@ -101,13 +101,13 @@
   let candidates: readonly Candidate[] = [];
   let peersSent: readonly SentCount[] = [];
   const view: DispatchView = {
-    here: rim.here,
+    entryLocation: rim.here,
     candidatesOf: () => candidates,
     get peersSent() {
       return peersSent;
     },
     peersPeriodMs: PEERS_PERIOD_MS,
-    entries: rim.entries,
+    entryCount: rim.entries,
   };
   let wakeAt = Number.POSITIVE_INFINITY;
   const run = (): void => {
--- a/features/calls/interleaving.steps.ts
+++ b/features/calls/interleaving.steps.ts
@@ -72,7 +72,7 @@
 function checkInterleavings(entryFailures: boolean, check: (run: Interleaving) => void): void {
   const draws = fc.array(fc.nat(1_000_000), { minLength: STEPS, maxLength: 4 * STEPS });
   const property = fc.property(draws, (numbers) => {
-    const run = new Interleaving({ entryFailures: entryFailures });
+    const run = new Interleaving({ entryFailures });
     const draw = createDraw(numbers);
     for (let step = 0; step < STEPS; step += 1) run.runRandomEvent(draw);
     run.runPendingEvents();
--- a/features/calls/interleaving.ts
+++ b/features/calls/interleaving.ts
@@ -6,7 +6,7 @@
 import type { PlatformWrite } from '../../src/adapters/platform/index.js';
 import {
   beginCall,
-  joinOpenCall,
+  resolveOpenCall,
   nameRecord,
   stepCall,
   type CallAction,
@@ -17,7 +17,7 @@
   type OnceOutcome,
   type SendOutcome,
 } from '../../src/controllers/calls/index.js';
-import { concludeFailure, createFailure } from '../../src/core/errors/index.js';
+import { getConclusion, createFailure } from '../../src/core/errors/index.js';
 import { FakePlatform } from './fake-platform.js';
 
 const ENTRIES = 3;
@@ -106,7 +106,7 @@
     const name = nameRecord(call);
     const openCall = entry.openCalls.get(name);
     if (openCall) {
-      request.outcome = joinOpenCall(openCall.progress, call);
+      request.outcome = resolveOpenCall(openCall.progress, call);
       return request;
     }
     const step = beginCall(name, call, this.#createContext(entry));
@@ -147,7 +147,7 @@
     const reportFailure = (mayTakeEffect: boolean): void => {
       const reason = mayTakeEffect ? 'lost' : 'refused';
       const failure = createFailure('platformOutcomeUnknown', { reason });
-      this.#deliver(target, { kind: 'writeFailed', nonce, failure, left: mayTakeEffect });
+      this.#deliver(target, { kind: 'writeFailed', nonce, failure, mayTakeEffect });
     };
     switch (draw) {
       case 3:
@@ -276,6 +276,6 @@
 /** Whether the caller was told that the request was not run. */
 export function wasReportedNotRun({ outcome }: Request): boolean {
   if (outcome?.kind !== 'failed') return false;
-  const conclusion = concludeFailure(outcome.failure);
+  const conclusion = getConclusion(outcome.failure);
   return conclusion === 'notRun' || conclusion === 'refused';
 }
--- a/features/configuration/properties.steps.ts
+++ b/features/configuration/properties.steps.ts
@@ -8,7 +8,7 @@
 import {
   createObjectState,
   exportChanges,
-  judgeAcceptance,
+  evaluateAcceptance,
   mergeObjects,
   type ObjectState,
 } from '../../src/controllers/configuration/index.js';
@@ -131,7 +131,7 @@
         if (isListed) instances.set(name, value);
         if (isHeard) peers.set(name, createPeer(name, Math.max(0, actual - lag)));
       });
-      const acceptance = judgeAcceptance({
+      const acceptance = evaluateAcceptance({
         revision,
         self: { name: 'self', failureDomain: 'site', revision: ownRevision },
         fleet: { revision: 0, instances, leaving: new Set() },
--- a/features/gateway/decisions.steps.ts
+++ b/features/gateway/decisions.steps.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
-import { keepLatest } from '../../src/core/collections/index.js';
+import { memoizeLatest } from '../../src/core/collections/index.js';
 import {
   applyFleetChanges,
   EMPTY_FLEET,
@@ -279,7 +279,7 @@
   /^a memoized function of two values is called with (.+)$/,
   function (this: DecisionWorld, pairs: string) {
     let computations = 0;
-    const join = keepLatest((one: string, other: string) => {
+    const join = memoizeLatest((one: string, other: string) => {
       computations += 1;
       return `${one} ${other}`;
     });
--- a/features/gateway/ownership.steps.ts
+++ b/features/gateway/ownership.steps.ts
@@ -80,6 +80,6 @@
   const failureDomain = `domain-${index % 3}`;
   const key = `models fabric-${index}`;
   const isPeerStateCurrent = hasReceivedPeerState(world.storeReachableForMs);
-  const ownerOf = createOwnerFinder({ self, peers, isPeerStateCurrent: isPeerStateCurrent });
+  const ownerOf = createOwnerFinder({ self, peers, isPeerStateCurrent });
   return ownerOf({ key, failureDomain }) === self.name;
 }
--- a/features/gateway/waiting.steps.ts
+++ b/features/gateway/waiting.steps.ts
@@ -8,8 +8,8 @@
 import {
   FirstEventTimes,
   hasRoom,
-  listHopeless,
-  orderLine,
+  listUnservable,
+  orderQueue,
   type WaitingRequest,
 } from '../../src/controllers/waiting/index.js';
 import type { Milliseconds } from '../../src/core/clock/index.js';
@@ -86,7 +86,7 @@
 Then(
   'at least {int} in 100 of those that were sent in the order of the line begin in time',
   function (this: WaitingWorld, percent: number) {
-    const fraction = simulateQueue(this, (waiting, now) => orderLine(waiting, now)[0]);
+    const fraction = simulateQueue(this, (waiting, now) => orderQueue(waiting, now)[0]);
     assert.ok(fraction >= percent / 100, String(fraction));
   },
 );
@@ -114,7 +114,7 @@
 );
 
 Then('their turns are {string}', function (this: WaitingWorld, turns: string) {
-  const names = orderLine(this.queue, this.now).map(({ name }) => name);
+  const names = orderQueue(this.queue, this.now).map(({ name }) => name);
   assert.equal(names.join(', '), turns);
 });
 
@@ -136,22 +136,22 @@
   'none is refused while the line is younger than {int} ms',
   function (this: WaitingWorld, ageMs: number) {
     const pace = { since: this.now - ageMs + 1, sent: 0 };
-    assert.deepEqual(listHopeless(orderLine(this.queue, this.now), this.now, pace), []);
+    assert.deepEqual(listUnservable(orderQueue(this.queue, this.now), this.now, pace), []);
   },
 );
 
 Then(
   '{int} are refused after {int} ms in which {int} were sent, which leaves one at once and twice their pace',
   function (this: WaitingWorld, refused: number, ageMs: number, sent: number) {
-    const ordered = orderLine(this.queue, this.now);
-    const hopeless = listHopeless(ordered, this.now, { since: this.now - ageMs, sent });
+    const ordered = orderQueue(this.queue, this.now);
+    const hopeless = listUnservable(ordered, this.now, { since: this.now - ageMs, sent });
     assert.equal(hopeless.length, refused);
     assert.deepEqual(hopeless, ordered.slice(-hopeless.length));
   },
 );
 
 Then('all are refused at {int} ms', function (this: WaitingWorld, now: number) {
-  const hopeless = listHopeless(orderLine(this.queue, now), now, { since: now, sent: 0 });
+  const hopeless = listUnservable(orderQueue(this.queue, now), now, { since: now, sent: 0 });
   assert.equal(hopeless.length, this.queue.length);
 });
 
--- a/features/health/health-digests.steps.ts
+++ b/features/health/health-digests.steps.ts
@@ -7,7 +7,10 @@
 import { createEngineClient, type EngineReport } from '../../src/adapters/engines/index.js';
 import { createBoard, type InstanceHealth, type Plans } from '../../src/board/index.js';
 import { createManualClock } from '../../src/core/clock/index.js';
-import { createHealthPassing, type HealthPassing } from '../../src/entry/health/health-passing.js';
+import {
+  createHealthExchange,
+  type HealthExchange,
+} from '../../src/entry/health/health-exchange.js';
 import type { EntryContext } from '../../src/entry/types.js';
 import {
   composeHealthDigest,
@@ -37,7 +40,7 @@
   previousDigest: HealthDigest;
   engines: EngineStandIn[];
   client: ReturnType<typeof createEngineClient>;
-  extension: HealthPassing;
+  extension: HealthExchange;
   clock: ReturnType<typeof createManualClock>;
   appliedReports: number;
   answers: { report: EngineReport; bytes: number }[];
@@ -252,11 +255,11 @@
     const settings = { health: { probeEveryMs: PROBE_MS } };
     const context = { board, clock, settings } as unknown as EntryContext;
     this.appliedReports = 0;
-    const extension = createHealthPassing(context, {
+    const extension = createHealthExchange(context, {
       readHealth: () => undefined,
       readAssigned: () => [],
       readFailing: () => [],
-      keep: (health) => {
+      storeReports: (health) => {
         this.appliedReports += health.size;
       },
     });
--- a/features/limits/share-fleet.ts
+++ b/features/limits/share-fleet.ts
@@ -12,7 +12,7 @@
   splitShares,
   type LimitDigest,
   type LimitedWorkspace,
-  type ListNews,
+  type EntryListStatus,
   type ShareOptions,
   type ShareState,
 } from '../../src/controllers/limits/index.js';
@@ -58,7 +58,7 @@
   peerStatuses: Map<string, PeerStatus>;
 }
 
-type PeerStatus = ListNews['peers'][number];
+type PeerStatus = EntryListStatus['peers'][number];
 
 interface Delivery {
   at: number;
@@ -192,14 +192,14 @@
     return !first.cutFromPeers && !second.cutFromPeers;
   }
 
-  private describeListStatus(member: Member): ListNews {
+  private describeListStatus(member: Member): EntryListStatus {
     return {
       self: member.name,
       listed: this.lists[member.revision]?.names ?? [],
       revision: member.revision,
-      platformAt: member.platformAt,
+      platformConfirmedAt: member.platformAt,
       peers: [...member.peerStatuses.values()],
-      contactMs: MAX_CONTACT_AGE_MS,
+      maxContactAgeMs: MAX_CONTACT_AGE_MS,
     };
   }
 
--- a/features/membership/membership.steps.ts
+++ b/features/membership/membership.steps.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
 import type { EngineReport } from '../../src/adapters/engines/index.js';
-import type { DrainJudgement } from '../../src/controllers/drains/index.js';
+import type { DrainEvaluation } from '../../src/controllers/drains/index.js';
 import { createTestFleet, type TestEntry, type TestFleet } from '../support/entries.js';
 import { waitFor } from '../support/waiting.js';
 
@@ -53,7 +53,7 @@
   world: MembershipWorld,
   at: string,
   target: string,
-): DrainJudgement | undefined {
+): DrainEvaluation | undefined {
   const drains = getEntry(world, at).operations.drains();
   return drains.find((drain) => drain.target === target)?.judgement;
 }
@@ -233,7 +233,7 @@
   async function (this: MembershipWorld, name: string) {
     const entry = getEntry(this, name);
     entry.membership.announceStopping();
-    assert.equal(await entry.membership.whenHandedOver(HANDOVER_TIMEOUT_MS), true);
+    assert.equal(await entry.membership.whenDigestDelivered(HANDOVER_TIMEOUT_MS), true);
     await entry.stop();
   },
 );
--- a/features/membership/rates.steps.ts
+++ b/features/membership/rates.steps.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import {
-  findSpendable,
-  findWatchPause,
+  computeSpendableBytes,
+  computeWatchDelay,
   planRound,
   refillBudget,
   type ByteBudget,
@@ -33,7 +33,7 @@
   'no fleet makes more than {int} watch calls a second, or {int} per entry',
   function (this: RatesWorld, maxTotal: number, maxPerEntry: number) {
     for (const entries of this.fleetSizes) {
-      const calls = 1_000 / findWatchPause(entries);
+      const calls = 1_000 / computeWatchDelay(entries);
       assert.ok(calls <= maxPerEntry, `${entries} entries: ${calls} a second each`);
       assert.ok(
         calls * entries <= maxTotal * 1.001,
@@ -63,7 +63,7 @@
 
 function countTargets(budget: ByteBudget, hasUpdates: boolean): number {
   const targets = [1, 2, 3, 4, 5].map((port) => ({ address: `127.0.0.1:${port}` }));
-  const bytesLeft = findSpendable(budget, BYTES_PER_SECOND, hasUpdates);
+  const bytesLeft = computeSpendableBytes(budget, BYTES_PER_SECOND, hasUpdates);
   const options = { failureDomain: 'a', targets, fanOut: FAN_OUT, bytesLeft };
   return planRound({ ...options, bytesPerExchange: EXCHANGE_BYTES }, createRandom(1)).length;
 }
--- a/features/replicas/gate.steps.ts
+++ b/features/replicas/gate.steps.ts
@@ -7,7 +7,7 @@
   chooseProbers,
   listEligibleReplicas,
   recordFailure,
-  recordPassedReport,
+  recordRelayedReport,
   recordReport,
   type EligibilityView,
 } from '../../src/controllers/health/index.js';
@@ -186,7 +186,7 @@
   'a peer forwards a report of one member that is {int} ms old and took {int} ms to arrive',
   function (this: GateWorld, ageMs: number, transitMs: number) {
     const report = createReport(1, HEALTHY);
-    this.health.set('engine-1', recordPassedReport(undefined, report, ageMs, transitMs, 10_000));
+    this.health.set('engine-1', recordRelayedReport(undefined, report, ageMs, transitMs, 10_000));
   },
 );
 
--- a/features/replicas/lease-simulation.ts
+++ b/features/replicas/lease-simulation.ts
@@ -5,10 +5,10 @@
 import {
   beginWrite,
   CLOCK_DRIFT,
-  concludeRead,
+  applyRead,
   createDomainState,
   decideOwnership,
-  doubtWrite,
+  markWriteUncertain,
   findOrderStart,
   mayOrder,
   observePlan,
@@ -74,7 +74,7 @@
     if (entry.partitionedUntil > at) return;
     const object = stored;
     schedule(entry, at + drawDelay(200, random), (to, now) => {
-      to.state = concludeRead(to.state, object, identify(to), now);
+      to.state = applyRead(to.state, object, identify(to), now);
     });
   };
   const write = (entry: SimulatedEntry, at: number): void => {
@@ -90,7 +90,7 @@
     entry.state = beginWrite(entry.state, pending);
     if (entry.partitionedUntil > at) {
       schedule(entry, at + drawDelay(600, random), (to) => {
-        to.state = doubtWrite(to.state);
+        to.state = markWriteUncertain(to.state);
       });
       return;
     }
@@ -102,8 +102,8 @@
       const response = stored;
       const isLost = random.below(10) === 0;
       schedule(entry, arrivesAt + drawDelay(600, random), (to, now) => {
-        const uncertain = isLost ? doubtWrite(to.state) : undefined;
-        to.state = uncertain ?? concludeRead(to.state, response, identify(to), now);
+        const uncertain = isLost ? markWriteUncertain(to.state) : undefined;
+        to.state = uncertain ?? applyRead(to.state, response, identify(to), now);
       });
     });
   };
--- a/features/replicas/lease.steps.ts
+++ b/features/replicas/lease.steps.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {
   beginWrite,
-  concludeRead,
+  applyRead,
   createDomainState,
   findLeaseEnd,
   mayOrder,
@@ -79,7 +79,7 @@
     const plan = { owner, fence: 0, replicas: [], spares: [] };
     const pending = { nonce: 'n', sentAt, purpose: 'renew' as const, firstOrderAt: 0 };
     const state = beginWrite(createDomainState(0), pending);
-    this.state = concludeRead(state, { version: 1, nonce: 'n', plan }, self, answeredAt);
+    this.state = applyRead(state, { version: 1, nonce: 'n', plan }, self, answeredAt);
   },
 );
 
--- a/features/replicas/loss.steps.ts
+++ b/features/replicas/loss.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import type { InstanceHealth } from '../../src/board/index.js';
-import { findLoss, recordFailure } from '../../src/controllers/health/index.js';
+import { findReplicaLoss, recordFailure } from '../../src/controllers/health/index.js';
 import { engineReportSchema, type EngineReport } from '../../src/adapters/engines/index.js';
 import type { DomainPlan, Replica } from '../../src/objects/index.js';
 
@@ -67,7 +67,7 @@
   const value: DomainPlan = { fence: 9, replicas: [this.replica], spares: [] };
   const plans = new Map([['fabric-1', { version: 1, value }]]);
   const serving = { replica: 'r-1', fence: 7, members: MEMBERS };
-  const loss = findLoss({ plans, health: this.health }, serving, NOW, FRESH_MS);
+  const loss = findReplicaLoss({ plans, health: this.health }, serving, NOW, FRESH_MS);
   assert.equal(loss === undefined ? 'stays' : `moves: ${loss.kind}`, outcome);
 });
 
--- a/features/replicas/planner.steps.ts
+++ b/features/replicas/planner.steps.ts
@@ -5,7 +5,11 @@
 import { createEngineWorld, type EngineWorld } from '../../bench/plan/engine-world.js';
 import type { Order } from '../../src/adapters/engines/index.js';
 import type { Peer } from '../../src/board/index.js';
-import { listDrained, splitDemand, type Estimates } from '../../src/controllers/replicas/index.js';
+import {
+  listDrainedReplicas,
+  splitDemand,
+  type Estimates,
+} from '../../src/controllers/replicas/index.js';
 import { modelSchema, type DomainPlan, type Model, type Replica } from '../../src/objects/index.js';
 
 const LOAD_MS = 10_000;
@@ -344,7 +348,7 @@
         peers,
         health: healthAfterDrain,
       };
-      const drained = listDrained(this.run.plan(), { ...view, forgetMs: 10_000 }, 5_000);
+      const drained = listDrainedReplicas(this.run.plan(), { ...view, forgetMs: 10_000 }, 5_000);
       return drained.has(draining.id);
     };
     assert.equal(isDrained([]), false);
--- a/features/requests/attempts.steps.ts
+++ b/features/requests/attempts.steps.ts
@@ -10,7 +10,7 @@
   type AttemptAction,
   type AttemptEvent,
 } from '../../src/controllers/attempts/index.js';
-import { concludeFailure, createFailure } from '../../src/core/errors/index.js';
+import { getConclusion, createFailure } from '../../src/core/errors/index.js';
 import { createMetrics } from '../../src/core/metrics/index.js';
 
 /** The observed result of playing one sequence of events. */
@@ -258,7 +258,7 @@
       return;
     case 'fail': {
       result.finalActions += 1;
-      const conclusion = concludeFailure(action.failure);
+      const conclusion = getConclusion(action.failure);
       result.saidNotRun = conclusion === 'notRun' || conclusion === 'refused';
       return;
     }
--- a/features/requests/fixture.ts
+++ b/features/requests/fixture.ts
@@ -11,7 +11,7 @@
 import type { OnceCalls, OnceOutcome, SendOutcome } from '../../src/controllers/calls/index.js';
 import { createEligibleReplicas } from '../../src/controllers/health/index.js';
 import { createSystemClock } from '../../src/core/clock/index.js';
-import { createHeldBytes } from '../../src/core/held-bytes/index.js';
+import { createBufferedBytesTracker } from '../../src/core/buffered-bytes/index.js';
 import { silentLogger } from '../../src/core/logger/index.js';
 import { createMetrics } from '../../src/core/metrics/index.js';
 import { createRandom } from '../../src/core/random/index.js';
@@ -51,7 +51,7 @@
   readonly health: HealthPart;
   readonly #client: EngineClient;
   readonly #services: Services = createServices();
-  readonly unread = createHeldBytes();
+  readonly unread = createBufferedBytesTracker();
   address = '';
 
   constructor() {
--- a/features/requests/unread.steps.ts
+++ b/features/requests/unread.steps.ts
@@ -79,7 +79,7 @@
     assert.equal(this.blockedSockets.length, Number(callers));
     assert.ok(heldBytes <= bound, `${heldBytes} bytes, more than ${bound}`);
     assert.ok(
-      this.entry.unread.sum() >= this.blockedSockets.length * BLOCKED_BYTES,
+      this.entry.unread.total() >= this.blockedSockets.length * BLOCKED_BYTES,
       'not all callers are blocked',
     );
   },
@@ -107,7 +107,7 @@
   for (const { bytesRead } of this.blockedSockets) {
     assert.ok(bytesRead > RESPONSE_BYTES, `${bytesRead} bytes`);
   }
-  await waitFor('the entry to hold nothing', () => this.entry.unread.sum() === 0);
+  await waitFor('the entry to hold nothing', () => this.entry.unread.total() === 0);
 });
 
 /** Resolves with the peak of bytes held by the entry, once all transfers have stopped. */
@@ -124,7 +124,7 @@
   let peak = 0;
   let previousState = '';
   for (let idlePolls = 0; idlePolls < IDLE_POLLS;) {
-    const heldBytes = entry.unread.sum();
+    const heldBytes = entry.unread.total();
     const currentState = `${heldBytes} ${largeResponseBackend.writtenBytes()}`;
     peak = Math.max(peak, heldBytes);
     idlePolls = currentState === previousState ? idlePolls + 1 : 0;
--- a/features/routing/fixtures.ts
+++ b/features/routing/fixtures.ts
@@ -43,7 +43,12 @@
 }
 
 export function makeView(candidates: readonly Candidate[]): DispatchView {
-  return { here: ENTRY_LOCATION, candidatesOf: () => candidates, peersSent: [], entries: 1 };
+  return {
+    entryLocation: ENTRY_LOCATION,
+    candidatesOf: () => candidates,
+    peersSent: [],
+    entryCount: 1,
+  };
 }
 
 export function makeRequest(
--- a/features/routing/retries.steps.ts
+++ b/features/routing/retries.steps.ts
@@ -13,7 +13,7 @@
   type RetryDecision,
   type RetryContext,
 } from '../../src/controllers/retries/index.js';
-import { concludeFailure } from '../../src/core/errors/index.js';
+import { getConclusion } from '../../src/core/errors/index.js';
 import { createRandom } from '../../src/core/random/index.js';
 
 const SEED = 20_263;
@@ -97,7 +97,7 @@
   assertForAllSteps(({ question, decision }) => {
     if (decision.kind !== 'answer') return true;
     const started = (question.mayHaveRun ?? false) || mayHaveRun(question.end);
-    return !started || concludeFailure(decision.failure) !== 'notRun';
+    return !started || getConclusion(decision.failure) !== 'notRun';
   });
 });
 
--- a/features/routing/routing.steps.ts
+++ b/features/routing/routing.steps.ts
@@ -18,7 +18,7 @@
   type DispatchView,
   type WaitingRequest,
 } from '../../src/controllers/routing/index.js';
-import { concludeFailure } from '../../src/core/errors/index.js';
+import { getConclusion } from '../../src/core/errors/index.js';
 import { createRandom } from '../../src/core/random/index.js';
 import { ENTRY_LOCATION, makeCandidate, makePrefixes, makeRequest, makeView } from './fixtures.js';
 import { simulateRouting, MAX_QUEUE_LENGTH, type RoutingHistory } from './history.js';
@@ -179,7 +179,7 @@
 Then('its failure does not say that it was not run', function (this: RoutingWorld) {
   const action = this.actions.at(-1);
   assert.ok(action?.kind === 'refuse');
-  assert.equal(concludeFailure(action.failure), 'unknown');
+  assert.equal(getConclusion(action.failure), 'unknown');
 });
 
 function offerMany(
--- a/scripts/reference/pages.ts
+++ b/scripts/reference/pages.ts
@@ -4,7 +4,7 @@
 import { format } from 'prettier';
 import { EXITS } from '../../src/cli/exit-codes.js';
 import { ERRORS } from '../../src/core/errors/index.js';
-import { createHeldBytes } from '../../src/core/held-bytes/index.js';
+import { createBufferedBytesTracker } from '../../src/core/buffered-bytes/index.js';
 import { LOG_EVENTS } from '../../src/core/logger/index.js';
 import { createMetrics, MAX_WORKSPACE_LABELS } from '../../src/core/metrics/index.js';
 import { entrySettingsSchema } from '../../src/core/settings/index.js';
@@ -91,7 +91,7 @@
 }
 
 function renderMetrics(): Page {
-  const rows = createMetrics(createHeldBytes())
+  const rows = createMetrics(createBufferedBytesTracker())
     .registry.getMetricsAsArray()
     .filter(({ name }) => name.startsWith(METRIC_PREFIX))
     .map((metric) => [`\`${metric.name}\``, listLabels(metric), metric.help])
--- a/src/adapters/callers/create-callers.ts
+++ b/src/adapters/callers/create-callers.ts
@@ -15,7 +15,7 @@
 import type { Credentials } from '../../controllers/attempts/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import { createFailure, type Failure } from '../../core/errors/index.js';
-import type { HeldBytes } from '../../core/held-bytes/index.js';
+import type { BufferedBytesTracker } from '../../core/buffered-bytes/index.js';
 import { closeServer, drainServer, listenOn } from '../../core/listening/index.js';
 import type { Logger } from '../../core/logger/index.js';
 import type { EntrySettings } from '../../core/settings/index.js';
@@ -34,7 +34,7 @@
   /** Whether connections are to be closed after their next answer. */
   isStopping: () => boolean;
   /** Counts what answers hold until their callers read on. */
-  unread: HeldBytes;
+  unread: BufferedBytesTracker;
   logger: Logger;
 }
 
@@ -135,7 +135,7 @@
   outgoing.setHeader('X-Request-Id', id);
   outgoing.once(
     'close',
-    options.unread.hold(() => outgoing.writableLength),
+    options.unread.track(() => outgoing.writableLength),
   );
   if (options.isStopping()) outgoing.setHeader('Connection', 'close');
   const caller = options.path.identify(readCredentials(incoming, options));
--- a/src/adapters/callers/service-calls.ts
+++ b/src/adapters/callers/service-calls.ts
@@ -7,7 +7,7 @@
 import type { HeaderField, StoredAnswer } from '../../controllers/calls/types.js';
 import { removeHopByHop, type ServiceAnswer } from '../services/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
-import type { HeldBytes } from '../../core/held-bytes/index.js';
+import type { BufferedBytesTracker } from '../../core/buffered-bytes/index.js';
 import { sendFailure } from './answers.js';
 import { readBody } from './body.js';
 import type { CallBody, RequestHead, RequestPath, ServiceCall, ServiceOutput } from './types.js';
@@ -25,7 +25,7 @@
   /** Longest wait for a body that is read whole. */
   bodyTimeoutMs: Milliseconds;
   /** Counts what an answer holds until its caller reads on. */
-  unread: HeldBytes;
+  unread: BufferedBytesTracker;
 }
 
 /** Header fields that this entry sets itself or has used up. */
@@ -68,10 +68,10 @@
   sendFailure(response, failure, head.id);
 }
 
-function createOutput(response: ServerResponse, unread: HeldBytes): ServiceOutput {
+function createOutput(response: ServerResponse, unread: BufferedBytesTracker): ServiceOutput {
   return {
     relay: async (answer) => {
-      const release = unread.hold(() => answer.body.readableLength);
+      const release = unread.track(() => answer.body.readableLength);
       const end = await relayAnswer(response, answer);
       release();
       return end;
--- a/src/adapters/engines/chunk-stream.ts
+++ b/src/adapters/engines/chunk-stream.ts
@@ -7,7 +7,7 @@
 import { StringDecoder } from 'node:string_decoder';
 import { createParser, type EventSourceParser } from 'eventsource-parser';
 import type { Dispatcher } from 'undici';
-import type { HeldBytes } from '../../core/held-bytes/index.js';
+import type { BufferedBytesTracker } from '../../core/buffered-bytes/index.js';
 import { createChunkSequence, type ChunkSequence } from './chunk-sequence.js';
 import { parseChunk } from './parse-chunk.js';
 import type { EngineChunk, EngineRequest } from './protocol.js';
@@ -43,10 +43,10 @@
   body: Body,
   request: EngineRequest,
   maxEventBytes: number,
-  unread: HeldBytes,
+  unread: BufferedBytesTracker,
 ): AsyncGenerator<EngineChunk, void, undefined> {
   const reading = startReading(request, maxEventBytes);
-  const release = unread.hold(() => body.readableLength + reading.partBytes);
+  const release = unread.track(() => body.readableLength + reading.partBytes);
   // A body that is destroyed reports it as an error, also when nobody reads it any more.
   body.on('error', () => undefined);
   try {
--- a/src/adapters/engines/completion.ts
+++ b/src/adapters/engines/completion.ts
@@ -2,7 +2,7 @@
  * Sending a completion: from the request to the first byte of the answer.
  */
 import type { Dispatcher } from 'undici';
-import type { HeldBytes } from '../../core/held-bytes/index.js';
+import type { BufferedBytesTracker } from '../../core/buffered-bytes/index.js';
 import { readRefusal } from './answers.js';
 import { describeError, readChunks } from './chunk-stream.js';
 import type { EngineRequest } from './protocol.js';
@@ -19,7 +19,7 @@
   request: EngineRequest,
   signal: AbortSignal,
   maxEventBytes: number,
-  unread: HeldBytes,
+  unread: BufferedBytesTracker,
 ): Promise<CompletionStart> {
   const sending: Sending = { begun: false, signal };
   try {
--- a/src/adapters/engines/engine-client.ts
+++ b/src/adapters/engines/engine-client.ts
@@ -8,7 +8,10 @@
 import { Agent } from 'undici';
 import type { Milliseconds } from '../../core/clock/index.js';
 import { createFailure } from '../../core/errors/index.js';
-import { createHeldBytes, type HeldBytes } from '../../core/held-bytes/index.js';
+import {
+  createBufferedBytesTracker,
+  type BufferedBytesTracker,
+} from '../../core/buffered-bytes/index.js';
 import { readAnswer, readEmpty, readRefusal } from './answers.js';
 import { describeError } from './chunk-stream.js';
 import { startCompletion } from './completion.js';
@@ -68,7 +71,7 @@
  */
 export function createEngineClient(
   given: EngineClientSettings = {},
-  unread: HeldBytes = createHeldBytes(),
+  unread: BufferedBytesTracker = createBufferedBytesTracker(),
 ): EngineClient {
   const settings = { ...DEFAULTS, ...given };
   const calls = new Agent({
--- a/src/adapters/operators/types.ts
+++ b/src/adapters/operators/types.ts
@@ -3,7 +3,7 @@
  */
 import type { ResultAsync } from 'neverthrow';
 import type { Acceptance } from '../../controllers/configuration/index.js';
-import type { DrainJudgement } from '../../controllers/drains/index.js';
+import type { DrainEvaluation } from '../../controllers/drains/index.js';
 import type { Status } from '../../controllers/status/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Failure } from '../../core/errors/index.js';
@@ -51,7 +51,7 @@
 export interface DrainStatus {
   target: string;
   kind: 'instance' | 'replica';
-  judgement: DrainJudgement;
+  judgement: DrainEvaluation;
 }
 
 export interface Operations {
--- a/src/adapters/peers/codec.ts
+++ b/src/adapters/peers/codec.ts
@@ -5,7 +5,7 @@
  * without it a short message would hardly shrink.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
-import { MESSAGE_BYTES } from '../../controllers/membership/index.js';
+import { MAX_MESSAGE_BYTES } from '../../controllers/membership/index.js';
 
 /**
  * Longest request once inflated. Anyone who reaches the listener can send one, and 64 KB can unfold
@@ -13,7 +13,7 @@
  * every answer under way with it. Digests shrink to about a fifth, so that no true one is
  * refused; inflating stops at the bound, before anything is parsed.
  */
-const REQUEST_BYTES = 8 * MESSAGE_BYTES;
+const REQUEST_BYTES = 8 * MAX_MESSAGE_BYTES;
 /** Longest answer once inflated: a page of configuration. */
 const ANSWER_BYTES = 33_554_432;
 
--- a/src/adapters/peers/server.ts
+++ b/src/adapters/peers/server.ts
@@ -3,7 +3,7 @@
  */
 import type { ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
-import { MESSAGE_BYTES } from '../../controllers/membership/index.js';
+import { MAX_MESSAGE_BYTES } from '../../controllers/membership/index.js';
 import { createPeerRouter } from './router.js';
 import { createRpcListener, type RpcListener } from './rpc-listener.js';
 import type { PeerHandlers } from './types.js';
@@ -25,7 +25,7 @@
   return createRpcListener({
     address: options.address,
     router: createPeerRouter(options.handlers),
-    maxBytes: MESSAGE_BYTES,
+    maxBytes: MAX_MESSAGE_BYTES,
     onResponse: createByteCounter(options.onSent),
   });
 }
--- a/src/controllers/attempts/conclusion.ts
+++ b/src/controllers/attempts/conclusion.ts
@@ -1,7 +1,7 @@
 /**
  * Determines the failure that a caller receives, given the earlier attempts of its request.
  */
-import { concludeFailure, createFailure, type Failure } from '../../core/errors/index.js';
+import { getConclusion, createFailure, type Failure } from '../../core/errors/index.js';
 
 /** Outcome of a request's earlier attempts. */
 export interface RequestHistory {
@@ -21,7 +21,7 @@
 export function concludeRequest(failure: Failure, history: RequestHistory): Failure {
   if (failure.kind === 'callerGone' || failure.kind === 'answerCut') return failure;
   if (history.delivered > 0) return createFailure('answerCut', { reason: failure.message });
-  const conclusion = concludeFailure(failure);
+  const conclusion = getConclusion(failure);
   if (!history.mayHaveRun || conclusion === 'unknown' || conclusion === 'failed') return failure;
   if (failure.kind === 'deadlineBeforeStart') return createFailure('deadlineAfterStart');
   return createFailure('outcomeUnknown', { reason: failure.message }, failure.retryAfterMs);
--- a/src/controllers/calls/batching.ts
+++ b/src/controllers/calls/batching.ts
@@ -34,7 +34,7 @@
 /** Batching state of one entry. */
 export interface Batching {
   waiting: WaitingWrite[];
-  underWay: number;
+  inFlight: number;
   lastSentAt: Milliseconds;
   /** Consecutive failed calls. */
   failures: number;
@@ -56,7 +56,7 @@
 export function createBatching(): Batching {
   return {
     waiting: [],
-    underWay: 0,
+    inFlight: 0,
     lastSentAt: Number.NEGATIVE_INFINITY,
     failures: 0,
     pausedUntil: Number.NEGATIVE_INFINITY,
@@ -72,7 +72,7 @@
   const pauseMs = batching.pausedUntil - now;
   if (pauseMs > 0) return { kind: 'refuse', retryAfterMs: Math.ceil(pauseMs) };
   // Until a call succeeds, only one batch at a time is sent as a probe.
-  return batching.underWay > 0 ? refuse : { kind: 'join' };
+  return batching.inFlight > 0 ? refuse : { kind: 'join' };
 }
 
 /**
@@ -83,13 +83,13 @@
 export function planBatch(batching: Batching, liveEntries: number, now: Milliseconds): BatchPlan {
   if (batching.waiting.length === 0) return { kind: 'idle' };
   const maxInFlight = batching.failures > 0 ? 1 : MAX_BATCHES_IN_FLIGHT;
-  if (batching.underWay >= maxInFlight) return { kind: 'idle' };
+  if (batching.inFlight >= maxInFlight) return { kind: 'idle' };
   const interval = (MS_PER_SECOND * liveEntries) / PLATFORM_CALLS_PER_SECOND;
   const earliestSendAt = Math.max(batching.pausedUntil, batching.lastSentAt + interval);
   if (now < earliestSendAt) return { kind: 'wait', until: earliestSendAt };
 
   const batch = takeBatch(batching);
-  batching.underWay += 1;
+  batching.inFlight += 1;
   batching.lastSentAt = now;
   return { kind: 'send', batch };
 }
@@ -111,8 +111,8 @@
 }
 
 /** Records that a platform call succeeded and ends the backoff. */
-export function noteBatchTaken(batching: Batching): void {
-  batching.underWay -= 1;
+export function recordBatchSuccess(batching: Batching): void {
+  batching.inFlight -= 1;
   batching.failures = 0;
   batching.pausedUntil = Number.NEGATIVE_INFINITY;
 }
@@ -123,13 +123,13 @@
  *
  * @param retryAfterMs retry delay requested by the platform.
  */
-export function noteBatchFailed(
+export function recordBatchFailure(
   batching: Batching,
   now: Milliseconds,
   random: Random,
   retryAfterMs: Milliseconds = 0,
 ): readonly WaitingWrite[] {
-  batching.underWay -= 1;
+  batching.inFlight -= 1;
   // Concurrent batches that fail together count as one failure.
   if (now < batching.pausedUntil) return [];
   const maxBackoff = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** batching.failures);
--- a/src/controllers/calls/call-state.ts
+++ b/src/controllers/calls/call-state.ts
@@ -20,7 +20,7 @@
   | { kind: 'written'; nonce: string; version: number }
   | { kind: 'conflict'; nonce: string; current: StoredObject | undefined }
   /** The flag tells whether the write may have left this process and may still take effect. */
-  | { kind: 'writeFailed'; nonce: string; failure: Failure; left: boolean }
+  | { kind: 'writeFailed'; nonce: string; failure: Failure; mayTakeEffect: boolean }
   | { kind: 'sendEnded'; outcome: SendOutcome }
   /** The backoff requested by `retryLater` has elapsed. */
   | { kind: 'retryDue' }
@@ -68,7 +68,7 @@
 }
 
 /** Environment of a state transition. */
-export interface CallFacts {
+export interface CallContext {
   now: Milliseconds;
   claimant: Claimant;
   createNonce(): string;
--- a/src/controllers/calls/claim-results.ts
+++ b/src/controllers/calls/claim-results.ts
@@ -5,7 +5,7 @@
 import type { StoredObject } from '../../objects/index.js';
 import { UNAVAILABLE_RETRY_MS } from './constants.js';
 import { decideByRecord } from './record-decision.js';
-import type { CallFacts, CallPhase, CallProgress, CallStep, WriteEvent } from './call-state.js';
+import type { CallContext, CallPhase, CallProgress, CallStep, WriteEvent } from './call-state.js';
 import {
   ABSENT_VERSION,
   answerCaller,
@@ -23,7 +23,7 @@
   progress: CallProgress,
   phase: Phase<'claiming'>,
   event: WriteEvent,
-  context: CallFacts,
+  context: CallContext,
 ): CallStep {
   switch (event.kind) {
     case 'written':
@@ -43,7 +43,7 @@
   progress: CallProgress,
   phase: Phase<'claiming'>,
   version: number,
-  context: CallFacts,
+  context: CallContext,
 ): CallStep {
   const { deadlineAt } = progress.call;
   const deadlinePassed = deadlineAt !== undefined && context.now >= deadlineAt;
@@ -67,13 +67,13 @@
   progress: CallProgress,
   phase: Phase<'claiming'>,
   event: Extract<WriteEvent, { kind: 'writeFailed' }>,
-  context: CallFacts,
+  context: CallContext,
 ): CallStep {
   const reason = event.failure.message;
   const retryAfterMs = event.failure.retryAfterMs ?? UNAVAILABLE_RETRY_MS;
   const failure = createFailure('recordUnavailable', { reason }, retryAfterMs);
   const refusal = answerWithFailure(progress, failure);
-  if (!event.left) return concatenateSteps(refusal, endCall(refusal.progress));
+  if (!event.mayTakeEffect) return concatenateSteps(refusal, endCall(refusal.progress));
   const settling: CallPhase = {
     kind: 'settling',
     nonce: context.createNonce(),
@@ -90,7 +90,7 @@
 function applyExistingRecord(
   progress: CallProgress,
   current: StoredObject | undefined,
-  context: CallFacts,
+  context: CallContext,
 ): CallStep {
   // The caller was answered while the claim was in flight, so the record is left unchanged.
   if (progress.answered) return endCall(progress);
@@ -126,7 +126,7 @@
   progress: CallProgress,
   phase: Phase<'givingUp'>,
   event: WriteEvent,
-  context: CallFacts,
+  context: CallContext,
 ): CallStep {
   if (event.kind === 'writeFailed') {
     const answered = answerWithFailure(
--- a/src/controllers/calls/claimants.ts
+++ b/src/controllers/calls/claimants.ts
@@ -24,7 +24,7 @@
  * @param self this entry in its current incarnation.
  * @param unheardClaimMs age at which a claim expires if its claimant is not in the peer table.
  */
-export function observeClaim(
+export function checkClaimantLost(
   observed: ObservedClaims,
   record: CallRecord,
   stored: StoredObject,
--- a/src/controllers/calls/expired-records.ts
+++ b/src/controllers/calls/expired-records.ts
@@ -39,7 +39,7 @@
  *
  * @param wallNow wall clock, in ms since the Unix epoch.
  */
-export function noteSettled(
+export function addSettledRecord(
   unlisted: UnlistedRecords,
   record: { name: string; version: number },
   age: KeyAge,
--- a/src/controllers/calls/record-decision.ts
+++ b/src/controllers/calls/record-decision.ts
@@ -4,7 +4,7 @@
 import { createFailure, type Failure } from '../../core/errors/index.js';
 import type { CallRecord, StoredObject } from '../../objects/index.js';
 import { IN_PROGRESS_RETRY_MS, UNAVAILABLE_RETRY_MS } from './constants.js';
-import type { CallFacts, CallProgress, CallRecordState } from './call-state.js';
+import type { CallContext, CallProgress, CallRecordState } from './call-state.js';
 import { decodeAnswer, readRecord } from './record.js';
 import type { OnceCall, OnceOutcome } from './types.js';
 
@@ -20,7 +20,7 @@
 export function decideByRecord(
   call: OnceCall,
   current: StoredObject | undefined,
-  context: CallFacts,
+  context: CallContext,
 ): RecordDecision {
   if (current === undefined) {
     const reason = 'the record was removed while it was claimed';
@@ -43,7 +43,7 @@
 function decideByState(
   record: CallRecord,
   current: StoredObject,
-  context: CallFacts,
+  context: CallContext,
 ): RecordDecision {
   switch (record.state.kind) {
     case 'claimed':
@@ -82,7 +82,7 @@
  * pending. If this entry was paused, another one may have recorded an unknown outcome meanwhile, so
  * reporting the call as in progress could be wrong.
  */
-export function isFateOpen({ answered, phase }: CallProgress): boolean {
+export function isOutcomePending({ answered, phase }: CallProgress): boolean {
   if (!answered) return false;
   switch (phase.kind) {
     case 'claiming':
@@ -99,9 +99,9 @@
 /**
  * Returns the outcome of a request whose key already has an open call on this entry.
  *
- * @example const outcome = joinOpenCall(open.progress, call);
+ * @example const outcome = resolveOpenCall(open.progress, call);
  */
-export function joinOpenCall(open: CallProgress, call: OnceCall): OnceOutcome {
+export function resolveOpenCall(open: CallProgress, call: OnceCall): OnceOutcome {
   if (!isSameCall(call, open.call)) return failCall(createFailure('keyReused'));
   if (open.phase.kind !== 'settling') return failInProgress();
   const { state } = open.phase;
--- a/src/controllers/calls/step.ts
+++ b/src/controllers/calls/step.ts
@@ -19,7 +19,7 @@
 import { UNAVAILABLE_RETRY_MS } from './constants.js';
 import type {
   CallEvent,
-  CallFacts,
+  CallContext,
   CallProgress,
   CallRecordState,
   CallStep,
@@ -47,7 +47,7 @@
  *
  * @example const { progress, actions } = beginCall(nameRecord(call), call, context);
  */
-export function beginCall(name: string, call: OnceCall, context: CallFacts): CallStep {
+export function beginCall(name: string, call: OnceCall, context: CallContext): CallStep {
   const progress: CallProgress = { name, call, phase: { kind: 'ended' }, answered: false };
   return writeClaim(progress, ABSENT_VERSION, context);
 }
@@ -57,7 +57,7 @@
  *
  * @example const { progress, actions } = stepCall(before, { kind: 'retryDue' }, context);
  */
-export function stepCall(progress: CallProgress, event: CallEvent, context: CallFacts): CallStep {
+export function stepCall(progress: CallProgress, event: CallEvent, context: CallContext): CallStep {
   switch (event.kind) {
     case 'written':
     case 'conflict':
@@ -75,7 +75,7 @@
 function handleWriteResult(
   progress: CallProgress,
   event: WriteEvent,
-  context: CallFacts,
+  context: CallContext,
 ): CallStep {
   const { phase } = progress;
   if (phase.kind === 'ended' || phase.nonce !== event.nonce) return keepState(progress);
@@ -95,7 +95,7 @@
   progress: CallProgress,
   phase: Phase<'settling'>,
   event: WriteEvent,
-  context: CallFacts,
+  context: CallContext,
 ): CallStep {
   switch (event.kind) {
     case 'written':
@@ -118,7 +118,7 @@
 function handleSendEnded(
   progress: CallProgress,
   outcome: SendOutcome,
-  context: CallFacts,
+  context: CallContext,
 ): CallStep {
   const { phase } = progress;
   if (phase.kind !== 'sending') return keepState(progress);
@@ -146,7 +146,7 @@
   }
 }
 
-function handleRetryDue(progress: CallProgress, context: CallFacts): CallStep {
+function handleRetryDue(progress: CallProgress, context: CallContext): CallStep {
   const { phase } = progress;
   if (phase.kind !== 'settling') return keepState(progress);
   return { progress, actions: [createSettlementWrite(progress, phase, context)] };
--- a/src/controllers/calls/transitions.ts
+++ b/src/controllers/calls/transitions.ts
@@ -4,7 +4,7 @@
 import type { Failure } from '../../core/errors/index.js';
 import type {
   CallAction,
-  CallFacts,
+  CallContext,
   CallPhase,
   CallProgress,
   CallRecordState,
@@ -19,7 +19,11 @@
 export type Phase<Kind extends CallPhase['kind']> = Extract<CallPhase, { kind: Kind }>;
 
 /** Writes a claim on condition that the record has the version `expected`. */
-export function writeClaim(progress: CallProgress, expected: number, context: CallFacts): CallStep {
+export function writeClaim(
+  progress: CallProgress,
+  expected: number,
+  context: CallContext,
+): CallStep {
   const nonce = context.createNonce();
   const value = createRecord(progress.call, context.claimant, { kind: 'claimed' });
   const write = { kind: 'call-record', name: progress.name, expected, nonce, value } as const;
@@ -35,7 +39,7 @@
   claimNonce: string,
   expected: number,
   state: CallRecordState,
-  context: CallFacts,
+  context: CallContext,
 ): CallStep {
   const nonce = context.createNonce();
   const phase: Phase<'settling'> = { kind: 'settling', nonce, claimNonce, expected, state };
@@ -49,7 +53,7 @@
 export function createSettlementWrite(
   { name, call }: CallProgress,
   { nonce, expected, state }: Phase<'settling'>,
-  context: CallFacts,
+  context: CallContext,
 ): CallAction {
   const value = createRecord(call, context.claimant, state);
   const write = { kind: 'call-record', name, expected, nonce, value } as const;
--- a/src/controllers/configuration/acceptance.ts
+++ b/src/controllers/configuration/acceptance.ts
@@ -34,9 +34,9 @@
 /**
  * Returns whether `revision` is in force on every live entry, or else which entries are lagging.
  *
- * @example judgeAcceptance({ revision: 12, self, fleet, peers, summaries, departed }).kind
+ * @example evaluateAcceptance({ revision: 12, self, fleet, peers, summaries, departed }).kind
  */
-export function judgeAcceptance(input: AcceptanceInput): Acceptance {
+export function evaluateAcceptance(input: AcceptanceInput): Acceptance {
   const lagging = [
     ...findLaggingSelf(input),
     ...findLaggingListed(input),
--- a/src/controllers/configuration/merge.ts
+++ b/src/controllers/configuration/merge.ts
@@ -7,7 +7,7 @@
  */
 import { OBJECT_SCHEMAS, type StoredObject } from '../../objects/index.js';
 import {
-  KEPT_KINDS,
+  WATCHED_KINDS,
   type ChangePage,
   type WatchedKind,
   type ObjectChanges,
@@ -65,7 +65,7 @@
 }
 
 function isWatchedKind(kind: string): kind is WatchedKind {
-  return (KEPT_KINDS as readonly string[]).includes(kind);
+  return (WATCHED_KINDS as readonly string[]).includes(kind);
 }
 
 function mergeRecord(before: ObjectRecord | undefined, object: StoredObject): ObjectRecord {
@@ -145,7 +145,7 @@
  * until the platform's watch catches up. Digests announce it so that peers fetch the object even while
  * the platform answers from an outdated copy.
  */
-export function findNewest({ records }: ObjectState): number {
+export function findNewestVersion({ records }: ObjectState): number {
   let newest = 0;
   for (const record of records.values()) newest = Math.max(newest, record.newest.version);
   return newest;
--- a/src/controllers/configuration/readiness.ts
+++ b/src/controllers/configuration/readiness.ts
@@ -7,9 +7,9 @@
 export interface ReadinessInput {
   startedAt: Milliseconds;
   /** When the platform last confirmed the configuration. */
-  platformAt: Milliseconds;
+  platformConfirmedAt: Milliseconds;
   /** When another entry was last heard. */
-  peerAt: Milliseconds;
+  peerHeardAt: Milliseconds;
   /** Whether the configuration of an entry that was ready is in force here. */
   caughtUp: boolean;
   /** Whether other entries are known from the settings or the platform's list. */
@@ -30,14 +30,14 @@
  * peer and relies on the platform alone only if no peer answers. An isolated entry is not ready,
  * because its configuration may have been replaced.
  */
-export function judgeReadiness(input: ReadinessInput, now: Milliseconds): Readiness {
-  const { platformAt, peerAt, revision, caughtUp, hasPeers } = input;
-  const hasPlatformAnswered = platformAt > Number.NEGATIVE_INFINITY;
+export function evaluateReadiness(input: ReadinessInput, now: Milliseconds): Readiness {
+  const { platformConfirmedAt, peerHeardAt, revision, caughtUp, hasPeers } = input;
+  const hasPlatformAnswered = platformConfirmedAt > Number.NEGATIVE_INFINITY;
   if (!hasPlatformAnswered && revision === 0) return notReady('it has no configuration yet');
   const mayStartAlone =
     hasPlatformAnswered && (!hasPeers || now - input.startedAt >= input.startupMs);
   if (!caughtUp && !mayStartAlone) return notReady('it has not caught up with another entry yet');
-  if (now - Math.max(platformAt, peerAt) > input.isolationMs) {
+  if (now - Math.max(platformConfirmedAt, peerHeardAt) > input.isolationMs) {
     return notReady('it has no contact to the platform or any other entry');
   }
   return { kind: 'ready' };
--- a/src/controllers/configuration/types.ts
+++ b/src/controllers/configuration/types.ts
@@ -4,7 +4,7 @@
 import type { ConfigurationKind, StoredObject } from '../../objects/index.js';
 
 /** The kinds of objects that every entry holds; a single watch covers all of them. */
-export const KEPT_KINDS = ['model', 'service', 'workspace', 'policy', 'instance'] as const;
+export const WATCHED_KINDS = ['model', 'service', 'workspace', 'policy', 'instance'] as const;
 export type WatchedKind = ConfigurationKind | 'instance';
 
 /** The relevant versions of one object. */
--- a/src/controllers/drains/judge.ts
+++ b/src/controllers/drains/drain-safety.ts
@@ -6,7 +6,7 @@
  * final, and an entry that doesn't list the target delays the stop.
  */
 import type { Peer } from '../../board/index.js';
-import type { DrainEntry, DrainBlocker, DrainJudgement, DrainInput } from './types.js';
+import type { DrainEntry, DrainBlocker, DrainEvaluation, DrainInput } from './types.js';
 
 /**
  * Returns whether all entries and the target have reported that no requests are in flight, or else
@@ -15,9 +15,9 @@
  * `reported` must be read from the target after the entries have reported zero: until the target has
  * received a request, only the entry that sent it counts it.
  *
- * @example if (judgeDrain(input).kind === 'safe') release(input.target);
+ * @example if (evaluateDrain(input).kind === 'safe') release(input.target);
  */
-export function judgeDrain(input: DrainInput): DrainJudgement {
+export function evaluateDrain(input: DrainInput): DrainEvaluation {
   const holders = [
     ...findOwnBlockers(input),
     ...findEntryBlockers(input),
--- a/src/controllers/drains/index.ts
+++ b/src/controllers/drains/index.ts
@@ -1,3 +1,3 @@
-export * from './judge.js';
+export * from './drain-safety.js';
 export * from './targets.js';
 export type * from './types.js';
--- a/src/controllers/drains/types.ts
+++ b/src/controllers/drains/types.ts
@@ -32,4 +32,4 @@
   /** The target has requests in flight, or has not reported their number. */
   | { kind: 'target'; count?: number };
 
-export type DrainJudgement = { kind: 'safe' } | { kind: 'waiting'; holders: DrainBlocker[] };
+export type DrainEvaluation = { kind: 'safe' } | { kind: 'waiting'; holders: DrainBlocker[] };
--- a/src/controllers/forwarding/choose.ts
+++ b/src/controllers/forwarding/choose.ts
@@ -50,12 +50,12 @@
 
 /** Estimated wait at a target plus its penalties, in milliseconds. */
 function estimateCost(state: TargetState): Milliseconds {
-  const { inFlight, slots, isRemote, failureRate: failing } = state;
+  const { inFlight, slots, isRemote, failureRate } = state;
   const queued = Math.max(0, inFlight + 1 - slots);
   return (
     (LOAD_PENALTY_MS * Math.min(inFlight, slots)) / slots +
     (SLOT_TIME_MS * queued) / slots +
     (isRemote ? CROSS_DOMAIN_PENALTY_MS : 0) +
-    FAILURE_PENALTY_MS * failing
+    FAILURE_PENALTY_MS * failureRate
   );
 }
--- a/src/controllers/freshness/bounds.ts
+++ b/src/controllers/freshness/bounds.ts
@@ -7,14 +7,14 @@
 /** Age limits of a proof, and the minimum interval between reads. */
 export interface ProofBounds {
   /** Age at which a gateway that follows the store queries it again. */
-  askAfterMs: Milliseconds;
+  recheckAfterMs: Milliseconds;
   /**
    * Age at which a gateway that relies on another one's updates, received every `periodMs`, follows
    * the store itself.
    */
-  distrustAfterMs(periodMs: Milliseconds): Milliseconds;
+  fallbackAfterMs(periodMs: Milliseconds): Milliseconds;
   /** Minimum interval between reads by a gateway that peers notify of each change. */
-  readEveryMs: Milliseconds;
+  minReadIntervalMs: Milliseconds;
 }
 
 /**
@@ -30,12 +30,12 @@
 const LATENCY_MARGIN_MS: Milliseconds = 200;
 
 /** Derives the bounds from the time within which a change must be known. */
-export function boundProofs(boundMs: Milliseconds): ProofBounds {
-  const askAfterMs = RECHECK_FRACTION * boundMs;
+export function computeProofBounds(boundMs: Milliseconds): ProofBounds {
+  const recheckAfterMs = RECHECK_FRACTION * boundMs;
   return {
-    askAfterMs,
-    readEveryMs: READ_INTERVAL_FRACTION * boundMs,
-    distrustAfterMs: (periodMs) =>
-      Math.max(FALLBACK_FRACTION * boundMs, askAfterMs + periodMs + LATENCY_MARGIN_MS),
+    recheckAfterMs,
+    minReadIntervalMs: READ_INTERVAL_FRACTION * boundMs,
+    fallbackAfterMs: (periodMs) =>
+      Math.max(FALLBACK_FRACTION * boundMs, recheckAfterMs + periodMs + LATENCY_MARGIN_MS),
   };
 }
--- a/src/controllers/freshness/proof.ts
+++ b/src/controllers/freshness/proof.ts
@@ -19,13 +19,16 @@
   return known !== undefined && known.at >= offered.at ? known : offered;
 }
 
-/** {@link ageOf} in whole milliseconds, for logs and digests. */
-export function roundedAge(proof: Proof | undefined, now: Milliseconds): Milliseconds | undefined {
-  const age = ageOf(proof, now);
+/** {@link proofAge} in whole milliseconds, for logs and digests. */
+export function roundedProofAge(
+  proof: Proof | undefined,
+  now: Milliseconds,
+): Milliseconds | undefined {
+  const age = proofAge(proof, now);
   return age === undefined ? undefined : Math.ceil(age);
 }
 
 /** Returns the age of a proof; undefined if there is none. */
-export function ageOf(proof: Proof | undefined, now: Milliseconds): Milliseconds | undefined {
+export function proofAge(proof: Proof | undefined, now: Milliseconds): Milliseconds | undefined {
   return proof && Math.max(0, now - proof.at);
 }
--- a/src/controllers/health/gate.ts
+++ b/src/controllers/health/eligibility.ts
@@ -156,7 +156,7 @@
   const { report } = health;
   if (report.leaving) return { kind: 'leaving', member };
   if (report.incarnation !== plannedMember.incarnation) return { kind: 'otherIncarnation', member };
-  if (!reportsPlace(report, replica, rank)) return { kind: 'otherReplica', member };
+  if (!matchesPlacement(report, replica, rank)) return { kind: 'otherReplica', member };
   if (report.state !== 'ready') return { kind: 'notReady', member };
   return undefined;
 }
@@ -170,7 +170,7 @@
 }
 
 /** Whether the engine reports the replica, rank, size and fencing number that the plan assigns. */
-export function reportsPlace(report: EngineReport, replica: Replica, rank: number): boolean {
+export function matchesPlacement(report: EngineReport, replica: Replica, rank: number): boolean {
   const held = report.replica;
   if (held?.id !== replica.id) return false;
   return held.fence === replica.fence && held.rank === rank && held.size === replica.members.length;
--- a/src/controllers/health/eligible-replicas.ts
+++ b/src/controllers/health/eligible-replicas.ts
@@ -5,7 +5,7 @@
 import type { Board } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Candidate } from '../routing/types.js';
-import { indexEligibleReplicas, type EligibleIndex } from './gate.js';
+import { indexEligibleReplicas, type EligibleIndex } from './eligibility.js';
 
 /** The replicas that may be sent requests; most calls are answered from a cached index. */
 export interface EligibleReplicas {
--- a/src/controllers/health/health-digest.ts
+++ b/src/controllers/health/health-digest.ts
@@ -12,8 +12,8 @@
 import type { Health, InstanceHealth, Plans, ReplicaLoad } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import { nameSchema, type Replica } from '../../objects/index.js';
-import { reportsPlace } from './gate.js';
-import { recordRelayedFailure, recordPassedReport } from './record.js';
+import { matchesPlacement } from './eligibility.js';
+import { recordRelayedFailure, recordRelayedReport } from './record.js';
 
 /** Maximum number of instances in each list of a digest. */
 const MAX_LIST_LENGTH = 256;
@@ -138,7 +138,7 @@
   const placements = indexPlacements(context.plans);
   const applyReport = (report: EngineReport): void => {
     const previous = context.readHealth(report.instance);
-    const next = recordPassedReport(previous, report, ageMs, digest.withinMs, now);
+    const next = recordRelayedReport(previous, report, ageMs, digest.withinMs, now);
     if (next !== previous) health.set(report.instance, next);
   };
   for (const other of digest.others) applyReport({ ...other, cacheSequence: 0 });
@@ -178,7 +178,7 @@
   if (placement === undefined || report.state !== 'ready' || report.leaving) return undefined;
   const { replica, rank } = placement;
   if (report.incarnation !== replica.members[rank]?.incarnation) return undefined;
-  if (!reportsPlace(report, replica, rank) || report.fence !== replica.fence) return undefined;
+  if (!matchesPlacement(report, replica, rank) || report.fence !== replica.fence) return undefined;
   const { instance, inFlight, load, adapters } = report;
   return {
     instance,
--- a/src/controllers/health/index.ts
+++ b/src/controllers/health/index.ts
@@ -1,5 +1,5 @@
 export * from './eligible-replicas.js';
-export * from './gate.js';
+export * from './eligibility.js';
 export * from './member-loss.js';
 export * from './health-digest.js';
 export * from './probes.js';
--- a/src/controllers/health/member-loss.ts
+++ b/src/controllers/health/member-loss.ts
@@ -9,7 +9,7 @@
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Replica } from '../../objects/index.js';
 import type { Candidate } from '../routing/types.js';
-import type { EligibilityView, Ineligibility } from './gate.js';
+import type { EligibilityView, Ineligibility } from './eligibility.js';
 
 /** The replica as it was when the request was sent to it. */
 export type ServingReplica = Pick<Candidate, 'replica' | 'fence' | 'members'>;
@@ -21,7 +21,7 @@
  *
  * @example if (findReplicaLoss(view, candidate, clock.now(), 2_000)) moveElsewhere();
  */
-export function findLoss(
+export function findReplicaLoss(
   view: Pick<EligibilityView, 'plans' | 'health'>,
   serving: ServingReplica,
   now: Milliseconds,
--- a/src/controllers/health/record.ts
+++ b/src/controllers/health/record.ts
@@ -36,7 +36,7 @@
  * Records a report relayed by a peer. Its age is at most `ageMs` plus `maxExtraAgeMs`, which is the
  * age assumed.
  */
-export function recordPassedReport(
+export function recordRelayedReport(
   previous: InstanceHealth | undefined,
   report: EngineReport,
   ageMs: Milliseconds,
@@ -62,7 +62,7 @@
  * Records a response of a plain service at `now`. Since services are not probed, responses are what
  * clears their failing state.
  */
-export function recordAnswer(now: Milliseconds): InstanceHealth {
+export function recordResponse(now: Milliseconds): InstanceHealth {
   return { heardAt: now };
 }
 
--- a/src/controllers/limits/entry-list.ts
+++ b/src/controllers/limits/entry-list.ts
@@ -13,7 +13,7 @@
 const CONFIRMATIONS_PER_FRESH_SPAN = 3;
 
 /** What this entry knows about the list of entries. Times are negative infinity if unknown. */
-export interface ListNews {
+export interface EntryListStatus {
   /** This entry's name. */
   self: string;
   /** The names on the list that is in force on this entry. */
@@ -21,19 +21,23 @@
   /** The configuration revision in force on this entry; it covers the list. */
   revision: number;
   /** When this entry itself last reached the platform. */
-  platformAt: Milliseconds;
+  platformConfirmedAt: Milliseconds;
   peers: readonly Pick<Peer, 'name' | 'heardAt' | 'configurationRevision' | 'platform'>[];
   /** Maximum age of a peer's last contact with the platform when it reports the platform as reached. */
-  contactMs: Milliseconds;
+  maxContactAgeMs: Milliseconds;
 }
 
 /**
  * Returns when the list was last known to be current.
  *
- * @example listConfirmedAt({ self: 'entry-1', listed, revision, platformAt, peers, contactMs })
+ * @example listConfirmedAt({ self: 'entry-1', listed, revision, platformConfirmedAt, peers, maxContactAgeMs })
  */
-export function listConfirmedAt(status: ListNews): Milliseconds {
-  return Math.max(status.platformAt, confirmedByOnePeerAt(status), confirmedByAllPeersAt(status));
+export function listConfirmedAt(status: EntryListStatus): Milliseconds {
+  return Math.max(
+    status.platformConfirmedAt,
+    confirmedByOnePeerAt(status),
+    confirmedByAllPeersAt(status),
+  );
 }
 
 /**
@@ -41,29 +45,29 @@
  * from taking its part while no peer knows of it: entries that have lost the platform would still
  * divide the limits without it.
  */
-export function isListHeldByPeer({ self, listed, peers, revision }: ListNews): boolean {
+export function isListHeldByPeer({ self, listed, peers, revision }: EntryListStatus): boolean {
   const others = new Set(listed.filter((name) => name !== self));
   if (others.size === 0) return true;
   return peers.some((peer) => others.has(peer.name) && peer.configurationRevision >= revision);
 }
 
 /** The maximum duration of a platform watch that still confirms the list in time. */
-export function listWatchMs(viewFreshMs: Milliseconds, watchMs: Milliseconds): Milliseconds {
+export function maxWatchMs(viewFreshMs: Milliseconds, watchMs: Milliseconds): Milliseconds {
   return Math.min(watchMs, Math.floor(viewFreshMs / CONFIRMATIONS_PER_FRESH_SPAN));
 }
 
 /** The latest confirmation by a peer that reaches the platform and has no newer revision. */
-function confirmedByOnePeerAt({ peers, revision, contactMs }: ListNews): Milliseconds {
+function confirmedByOnePeerAt({ peers, revision, maxContactAgeMs }: EntryListStatus): Milliseconds {
   let at = Number.NEGATIVE_INFINITY;
   for (const peer of peers) {
     if (peer.platform !== 'reached' || peer.configurationRevision > revision) continue;
-    at = Math.max(at, peer.heardAt - contactMs);
+    at = Math.max(at, peer.heardAt - maxContactAgeMs);
   }
   return at;
 }
 
 /** The latest time by which all other listed entries were heard, if none has a newer revision. */
-function confirmedByAllPeersAt({ self, listed, peers, revision }: ListNews): Milliseconds {
+function confirmedByAllPeersAt({ self, listed, peers, revision }: EntryListStatus): Milliseconds {
   const others = listed.filter((name) => name !== self);
   if (others.length === 0 || peers.some((peer) => peer.configurationRevision > revision)) {
     return Number.NEGATIVE_INFINITY;
--- a/src/controllers/limits/entry-view.ts
+++ b/src/controllers/limits/entry-view.ts
@@ -9,7 +9,7 @@
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import { MAX_LIST_LAG_MS, LOAN_MARGIN_MS, LOAN_DURATION_MS, VIEW_MARGIN_MS } from './constants.js';
-import { listConfirmedAt, isListHeldByPeer, type ListNews } from './entry-list.js';
+import { listConfirmedAt, isListHeldByPeer, type EntryListStatus } from './entry-list.js';
 import type { ShareOptions, ShareState } from './share-state.js';
 
 /**
@@ -17,7 +17,11 @@
  *
  * @example observeEntries(state, status, clock.now());
  */
-export function observeEntries(state: ShareState, status: ListNews, now: Milliseconds): void {
+export function observeEntries(
+  state: ShareState,
+  status: EntryListStatus,
+  now: Milliseconds,
+): void {
   expireView(state, now);
   const { view } = state;
   view.confirmedAt = Math.max(view.confirmedAt, listConfirmedAt(status));
--- a/src/controllers/limits/loans.ts
+++ b/src/controllers/limits/loans.ts
@@ -68,7 +68,7 @@
   if (expiresAt <= now) return;
   if (current?.incarnation === incarnation && current.stamp >= stamp) return;
   const fractions = new Map(grant.loans.map((loan) => [loan.workspace, loan.fraction]));
-  state.borrowed.set(lender, { incarnation, stamp, expiresAt: expiresAt, fractions });
+  state.borrowed.set(lender, { incarnation, stamp, expiresAt, fractions });
 }
 
 /** The fraction of a limit that belongs to this entry, not counting loans. */
--- a/src/controllers/membership/digest-content.ts
+++ b/src/controllers/membership/digest-content.ts
@@ -2,7 +2,7 @@
  * Builds the content of this entry's own digest and limits it to the maximum sizes.
  */
 import type { Attempts, InFlightCount, SentCount, WorkspaceDemand } from '../../board/index.js';
-import { MAX_DIGEST_LIST_LENGTH, EXTENSION_LENGTH, type DigestContent } from './messages.js';
+import { MAX_DIGEST_LIST_LENGTH, MAX_EXTENSION_LENGTH, type DigestContent } from './messages.js';
 
 /** Maximum number of replicas and workspaces in a digest; those with the most tokens are kept. */
 const MAX_SENT_COUNTS = 12;
@@ -22,7 +22,7 @@
  * Truncation is safe: the other entries wait longer for a draining target that is missing from the
  * list, and the engines' own reports correct sent counts that are missing.
  */
-export function composeContent(source: DigestContentSource): DigestContent {
+export function buildDigestContent(source: DigestContentSource): DigestContent {
   const { attempts, draining, leaving, extensions, ...rest } = source;
   return {
     ...rest,
@@ -55,6 +55,6 @@
 function dropOversizedExtensions(
   extensions: DigestContent['extensions'],
 ): DigestContent['extensions'] {
-  const kept = Object.entries(extensions).filter(([, text]) => text.length <= EXTENSION_LENGTH);
+  const kept = Object.entries(extensions).filter(([, text]) => text.length <= MAX_EXTENSION_LENGTH);
   return Object.fromEntries(kept);
 }
--- a/src/controllers/membership/gossip.ts
+++ b/src/controllers/membership/gossip.ts
@@ -51,7 +51,7 @@
 }
 
 /** The result of processing a received message. */
-export interface Receipt {
+export interface ReceiveResult {
   /** Name of the sender. */
   from: string;
   /** Entries whose record was replaced by a newer digest. */
@@ -168,7 +168,7 @@
   state: GossipState,
   message: DigestMessage,
   now: Milliseconds,
-): Receipt {
+): ReceiveResult {
   const [first] = message.digests;
   const from = first?.name ?? '';
   const updated: PeerRecord[] = [];
@@ -253,7 +253,7 @@
 }
 
 /** Removes peers and summaries that have not been updated since `cutoff`. */
-export function forgetPeers(state: GossipState, cutoff: Milliseconds): void {
+export function removeExpiredPeers(state: GossipState, cutoff: Milliseconds): void {
   for (const [name, record] of state.peers) {
     if (record.heardAt >= cutoff) continue;
     state.peers.delete(name);
--- a/src/controllers/membership/leaving-marks.ts
+++ b/src/controllers/membership/leaving-marks.ts
@@ -21,7 +21,7 @@
 export type LeavingMarks = ReadonlyMap<string, LeavingMarkRecord>;
 
 /** Updates the marks from the platform's list and the engines' own reports. */
-export function updateMarks(
+export function updateLeavingMarks(
   marks: LeavingMarks,
   list: InstanceList,
   health: Health,
@@ -64,7 +64,7 @@
 }
 
 /** Merges the marks received from a peer. */
-export function adoptMarks(
+export function mergeLeavingMarks(
   marks: LeavingMarks,
   received: readonly LeavingMark[],
   now: Milliseconds,
@@ -86,7 +86,7 @@
 }
 
 /** Lists the active marks, for this entry's own digest. */
-export function listMarks(marks: LeavingMarks): LeavingMark[] {
+export function listActiveLeavingMarks(marks: LeavingMarks): LeavingMark[] {
   const active = [...marks.values()].filter((mark) => !mark.cleared);
   return active.slice(0, MAX_DIGEST_LIST_LENGTH).map(({ instance, version, incarnation }) => ({
     instance,
--- a/src/controllers/membership/messages.ts
+++ b/src/controllers/membership/messages.ts
@@ -13,9 +13,9 @@
 /** Maximum number of digests, and of summaries, in one message. */
 export const MAX_MESSAGE_LIST_LENGTH = 64;
 /** Maximum length of a digest extension as JSON text. */
-export const EXTENSION_LENGTH = 1_500;
+export const MAX_EXTENSION_LENGTH = 1_500;
 /** Maximum size of an accepted message. */
-export const MESSAGE_BYTES = 65_536;
+export const MAX_MESSAGE_BYTES = 65_536;
 /** Maximum number of entries listed as behind in a domain summary. */
 export const MAX_SUMMARY_BEHIND = 8;
 
@@ -52,7 +52,7 @@
   concurrentRequests: count,
 });
 
-const extension = z.string().max(EXTENSION_LENGTH);
+const extension = z.string().max(MAX_EXTENSION_LENGTH);
 
 /** The state that an entry publishes about itself. */
 export const digestContentSchema = z.strictObject({
--- a/src/controllers/membership/peers.ts
+++ b/src/controllers/membership/peers.ts
@@ -11,12 +11,12 @@
 
 /** Builds the `peers` section: the entries heard from within `forgetMs`. */
 export function listPeers(state: GossipState, forgetMs: Milliseconds, now: Milliseconds): Peers {
-  const live = listLive(state, forgetMs, now);
+  const live = listLivePeers(state, forgetMs, now);
   return new Map(live.map((record) => [record.name, describePeer(record)] as const));
 }
 
 /** Lists the entries heard from within `forgetMs`. */
-export function listLive(
+export function listLivePeers(
   state: GossipState,
   forgetMs: Milliseconds,
   now: Milliseconds,
@@ -25,7 +25,7 @@
 }
 
 /** Lists the entries that announced their stop and have not been heard from for `forgetMs`. */
-export function listDeparted(
+export function listDepartedPeers(
   state: GossipState,
   forgetMs: Milliseconds,
   now: Milliseconds,
@@ -101,14 +101,14 @@
 }
 
 /** Whether enough peers hold this entry's own digest with `change` or a later one. */
-export function isOwnChangeKnown(
+export function isOwnChangeReplicated(
   state: GossipState,
   change: number,
   forgetMs: Milliseconds,
   now: Milliseconds,
 ): boolean {
   const { name, incarnation } = state.self;
-  const live = listLive(state, forgetMs, now).filter((record) => !record.content.stopping);
+  const live = listLivePeers(state, forgetMs, now).filter((record) => !record.content.stopping);
   const informed = live.filter((record) => {
     const held = state.acknowledged.get(record.name)?.get(name);
     return held?.incarnation === incarnation && held.change >= change;
--- a/src/controllers/membership/round-planning.ts
+++ b/src/controllers/membership/round-planning.ts
@@ -54,7 +54,7 @@
  *
  * @example const bytesLeft = computeSpendableBytes(budget, bytesPerSecond, hasUpdates);
  */
-export function findSpendable(
+export function computeSpendableBytes(
   budget: ByteBudget,
   bytesPerSecond: number,
   hasUpdates: boolean,
@@ -112,7 +112,7 @@
  * Lists the digests that may be relayed to an entry of `targetDomain`: all of them in a small
  * fleet; in a large one, only those of a shared domain, since summaries cover the others.
  */
-export function listRelayed(options: RelayOptions): readonly PeerRecord[] {
+export function selectRelayedPeers(options: RelayOptions): readonly PeerRecord[] {
   const { peers, isLarge, failureDomain, targetDomain } = options;
   if (!isLarge) return peers;
   if (targetDomain !== failureDomain) return [];
--- a/src/controllers/membership/watchers.ts
+++ b/src/controllers/membership/watchers.ts
@@ -43,7 +43,7 @@
  *
  * @example const delayMs = computeWatchDelay(peers.size + 1);
  */
-export function findWatchPause(entries: number): Milliseconds {
+export function computeWatchDelay(entries: number): Milliseconds {
   return Math.max(MIN_WATCH_DELAY_MS, (entries / MAX_WATCH_CALLS_PER_SECOND) * MS_PER_SECOND);
 }
 
--- a/src/controllers/peering/types.ts
+++ b/src/controllers/peering/types.ts
@@ -3,7 +3,7 @@
  */
 import * as z from 'zod';
 import type { Milliseconds } from '../../core/clock/index.js';
-import { requestReportSchema, toldQuarantineSchema } from '../quarantine/index.js';
+import { requestReportSchema, quarantineNoticeSchema } from '../quarantine/index.js';
 
 const nonNegativeSchema = z.number().nonnegative();
 /** Requests in flight by backend server. */
@@ -64,7 +64,7 @@
   suspicions: suspicionsSchema,
   reports: reportsSchema.optional(),
   /** All requests that the sender has quarantined. */
-  quarantined: z.array(toldQuarantineSchema).max(1_000).optional(),
+  quarantined: z.array(quarantineNoticeSchema).max(1_000).optional(),
   /** Summary of the sender's failure domain, and summaries that it forwards. */
   summaries: z.array(domainSummarySchema).max(1_000).optional(),
   /** All gateways known to the sender, sent on request. */
--- a/src/controllers/quarantine/quarantine-table.ts
+++ b/src/controllers/quarantine/quarantine-table.ts
@@ -10,7 +10,7 @@
  * least as many.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
-import type { RequestReport, ToldQuarantine } from './types.js';
+import type { RequestReport, QuarantineNotice } from './types.js';
 
 /** Number of unattributed failures after which a request is quarantined. */
 const FAILURES_UNTIL_QUARANTINE = 3;
@@ -61,16 +61,16 @@
   }
 
   /** Records a report of this gateway; returns whether it quarantines the request. */
-  record(report: RequestReport, now: Milliseconds): boolean {
+  recordOwnReport(report: RequestReport, now: Milliseconds): boolean {
     // Answers to requests that aren't suspect need not be shared.
     if (report.kind === 'answered' && !this.isSuspect(report.fingerprint)) return false;
     const reports = [...this.ownReports, { report, at: now - report.ageMs }];
     this.ownReports = reports.slice(-MAX_SHARED_REPORTS);
-    return this.learn(report, now);
+    return this.applyReport(report, now);
   }
 
   /** Applies a report of any gateway; returns whether it quarantines the request. */
-  learn(report: RequestReport, now: Milliseconds): boolean {
+  applyReport(report: RequestReport, now: Milliseconds): boolean {
     const at = now - report.ageMs;
     switch (report.kind) {
       case 'answered':
@@ -82,18 +82,18 @@
   }
 
   /** Applies a quarantine of another gateway; returns whether it was unknown here. */
-  learnQuarantine({ fingerprint, ageMs, leftMs }: ToldQuarantine, now: Milliseconds): boolean {
+  applyNotice({ fingerprint, ageMs, leftMs }: QuarantineNotice, now: Milliseconds): boolean {
     const since = now - ageMs;
     const record = this.records.get(fingerprint);
     if (record && record.answeredAt >= since) return false;
-    if (this.leftMs(fingerprint, now) !== undefined || leftMs <= 0) return false;
+    if (this.remainingMs(fingerprint, now) !== undefined || leftMs <= 0) return false;
     const until = now + Math.min(leftMs, QUARANTINE_MS);
     this.startQuarantine(fingerprint, this.getOrCreateRecord(fingerprint), { since, until });
     return true;
   }
 
   /** Remaining time of the request's quarantine; undefined if the request may be sent. */
-  leftMs(fingerprint: string, now: Milliseconds): Milliseconds | undefined {
+  remainingMs(fingerprint: string, now: Milliseconds): Milliseconds | undefined {
     const until = this.records.get(fingerprint)?.quarantine?.until;
     return until !== undefined && until > now ? until - now : undefined;
   }
@@ -108,11 +108,11 @@
   }
 
   /** Quarantined requests, including those learned from other gateways. */
-  listQuarantined(now: Milliseconds): ToldQuarantine[] {
-    const notices: ToldQuarantine[] = [];
+  listQuarantined(now: Milliseconds): QuarantineNotice[] {
+    const notices: QuarantineNotice[] = [];
     for (const fingerprint of this.quarantined) {
       const quarantine = this.records.get(fingerprint)?.quarantine;
-      const leftMs = this.leftMs(fingerprint, now);
+      const leftMs = this.remainingMs(fingerprint, now);
       if (quarantine === undefined || leftMs === undefined) continue;
       const ageMs = Math.round(now - quarantine.since);
       notices.push({ fingerprint, ageMs, leftMs: Math.round(leftMs) });
@@ -144,7 +144,7 @@
     record.failures = recent;
     if (recent.some((other) => isSameFailure(other, failure))) return false;
     recent.push(failure);
-    if (this.leftMs(fingerprint, now) !== undefined) return false;
+    if (this.remainingMs(fingerprint, now) !== undefined) return false;
     const unattributed = recent.filter(
       (candidate) => !this.isAttributedToOther(fingerprint, candidate, recent.length),
     );
--- a/src/controllers/quarantine/types.ts
+++ b/src/controllers/quarantine/types.ts
@@ -17,7 +17,7 @@
   z.object({ kind: z.literal('answered'), fingerprint: z.string(), ageMs: durationMs }),
 ]);
 
-export const toldQuarantineSchema = z.object({
+export const quarantineNoticeSchema = z.object({
   fingerprint: z.string(),
   /** Time since the request was quarantined. */
   ageMs: durationMs,
@@ -28,4 +28,4 @@
 /** The outcome of a request as observed by one gateway. */
 export type RequestReport = z.infer<typeof requestReportSchema>;
 /** A request that is quarantined, as shared between gateways. */
-export type ToldQuarantine = z.infer<typeof toldQuarantineSchema>;
+export type QuarantineNotice = z.infer<typeof quarantineNoticeSchema>;
--- a/src/controllers/replicas/check-plan.ts
+++ b/src/controllers/replicas/check-plan.ts
@@ -47,7 +47,7 @@
 }
 
 /** Also checks the transition from `previous`: tokens and terms never decrease, tokens are not reused. */
-export function checkPlanStep(previous: DomainPlan, next: DomainPlan): PlanFault[] {
+export function checkPlanTransition(previous: DomainPlan, next: DomainPlan): PlanFault[] {
   const faults = checkPlan(next);
   if (next.fence < previous.fence) faults.push({ kind: 'fenceBack' });
   const previousTerm = previous.owner?.term ?? 0;
--- a/src/controllers/replicas/domains.ts
+++ b/src/controllers/replicas/domains.ts
@@ -4,7 +4,7 @@
 import type { Fleet, Health } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { DomainPlan } from '../../objects/index.js';
-import { isLeaving } from '../health/gate.js';
+import { isLeaving } from '../health/eligibility.js';
 import type { DomainSupply, InstanceGroup } from './demand.js';
 import type { DomainLocation } from './lease.js';
 import { measureAbsence } from './member-status.js';
@@ -14,7 +14,10 @@
 export type DomainMembers = ReadonlyMap<string, DomainMember>;
 
 /** Groups engine instances by fabric domain; an instance without one forms its own domain. */
-export function groupDomains(fleet: Fleet, health: Health): ReadonlyMap<string, DomainMembers> {
+export function groupInstancesByDomain(
+  fleet: Fleet,
+  health: Health,
+): ReadonlyMap<string, DomainMembers> {
   const domains = new Map<string, Map<string, DomainMember>>();
   for (const [name, instance] of fleet.instances) {
     if (instance.role !== 'engine') continue;
--- a/src/controllers/replicas/drained-replicas.ts
+++ b/src/controllers/replicas/drained-replicas.ts
@@ -4,7 +4,7 @@
 import type { Attempts, Health, Peer, Peers } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { DomainPlan, Replica } from '../../objects/index.js';
-import { judgeDrain } from '../drains/judge.js';
+import { evaluateDrain } from '../drains/drain-safety.js';
 
 /** Known requests in flight. */
 export interface InFlightView {
@@ -27,7 +27,11 @@
  * earlier are in its own count. The drain of an instance that cannot reject requests has no such
  * report and waits for silent entries as well.
  */
-export function listDrained(plan: DomainPlan, view: InFlightView, now: Milliseconds): Set<string> {
+export function listDrainedReplicas(
+  plan: DomainPlan,
+  view: InFlightView,
+  now: Milliseconds,
+): Set<string> {
   const entries = [...view.peers.values()].filter(({ heardAt }) => now - heardAt < view.forgetMs);
   const drained = plan.replicas.filter(
     (replica) =>
@@ -54,5 +58,5 @@
 ): boolean {
   const self = { name: '', failureDomain: '', inFlight: attempts.inFlight.get(target) ?? 0 };
   const question = { target, self, entries, peers, summaries: [], reported: 0 };
-  return judgeDrain(question).kind === 'safe';
+  return evaluateDrain(question).kind === 'safe';
 }
--- a/src/controllers/replicas/loss-history.ts
+++ b/src/controllers/replicas/loss-history.ts
@@ -9,7 +9,7 @@
  * Updates the history from the current health of all members. A loss counts once: when the instance
  * exceeds the loss timeout, or when it reports a new incarnation before the timeout.
  */
-export function updateHistory(
+export function updateLossHistory(
   input: Pick<DomainInput, 'members' | 'history' | 'estimates' | 'watchingSince'>,
   now: Milliseconds,
 ): LossHistory {
--- a/src/controllers/replicas/member-status.ts
+++ b/src/controllers/replicas/member-status.ts
@@ -4,7 +4,7 @@
 import type { EngineReport } from '../../adapters/engines/protocol.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Replica } from '../../objects/index.js';
-import { reportsPlace } from '../health/gate.js';
+import { matchesPlacement } from '../health/eligibility.js';
 import type { DomainInput, DomainMember } from './types.js';
 
 /** Status of a member relative to its assignment in the plan. */
@@ -38,7 +38,7 @@
   if (absentMs > 0 || report === undefined) return { kind: 'absent', absentMs };
   if (report.incarnation !== planned.incarnation) return { kind: 'restarted' };
   if (member.leaving || report.leaving) return { kind: 'leaving' };
-  if (reportsPlace(report, replica, rank)) return getAssignedStatus(report);
+  if (matchesPlacement(report, replica, rank)) return getAssignedStatus(report);
   if (report.fence > replica.fence) return { kind: 'moved' };
   return { kind: 'unformed' };
 }
--- a/src/controllers/replicas/ownership.ts
+++ b/src/controllers/replicas/ownership.ts
@@ -6,7 +6,7 @@
  */
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { DomainPlan } from '../../objects/index.js';
-import { checkPlanStep, type PlanFault } from './check-plan.js';
+import { checkPlanTransition, type PlanFault } from './check-plan.js';
 import {
   findFirstOrderTime,
   findLeaseEnd,
@@ -123,7 +123,7 @@
  * not the stored change can no longer take effect: its expected version is outdated or its call has
  * ended.
  */
-export function concludeRead(
+export function applyRead(
   state: DomainState,
   object: StoredPlan | undefined,
   self: OwnerIdentity,
@@ -139,7 +139,7 @@
 }
 
 /** The state after a write with an unknown outcome: the plan must be read first. */
-export function doubtWrite(state: DomainState): DomainState {
+export function markWriteUncertain(state: DomainState): DomainState {
   return { ...state, mustRead: true };
 }
 
@@ -222,7 +222,7 @@
   plan: DomainPlan,
   purpose: WritePurpose,
 ): OwnerAction {
-  const faults = checkPlanStep(state.stored?.plan ?? EMPTY_PLAN, plan);
+  const faults = checkPlanTransition(state.stored?.plan ?? EMPTY_PLAN, plan);
   if (faults.length > 0) return { kind: 'refuse', faults };
   return { kind: 'write', expected: state.stored?.version ?? 0, plan, purpose };
 }
--- a/src/controllers/retries/decide.ts
+++ b/src/controllers/retries/decide.ts
@@ -2,7 +2,7 @@
  * The retry decision after a failed attempt of a request.
  */
 import type { Milliseconds } from '../../core/clock/index.js';
-import { concludeFailure, createFailure, type Failure } from '../../core/errors/index.js';
+import { getConclusion, createFailure, type Failure } from '../../core/errors/index.js';
 import type { Random } from '../../core/random/index.js';
 import { budgetWaitMs, takeRetry, type RetryState } from './budget.js';
 import { concludeGivenUp } from './given-up.js';
@@ -94,7 +94,7 @@
 }
 
 function createAnswer(context: RetryContext, failure: Failure): RetryDecision {
-  if (receivedByCaller(context) > 0 && concludeFailure(failure) !== 'failed') {
+  if (receivedByCaller(context) > 0 && getConclusion(failure) !== 'failed') {
     return { kind: 'answer', failure: createFailure('answerCut', { reason: context.end.reason }) };
   }
   return { kind: 'answer', failure: concludeGivenUp(failure, context.mayHaveRun ?? false) };
--- a/src/controllers/retries/given-up.ts
+++ b/src/controllers/retries/given-up.ts
@@ -1,7 +1,7 @@
 /**
  * Determines the failure of a request that is given up after earlier attempts.
  */
-import { concludeFailure, createFailure, type Failure } from '../../core/errors/index.js';
+import { getConclusion, createFailure, type Failure } from '../../core/errors/index.js';
 
 /**
  * Returns `failure`, or a counterpart without "not run" when an earlier attempt may have run.
@@ -10,7 +10,7 @@
  * @example concludeGivenUp(createFailure('noCapacity', { name: 'chat' }), true).kind // 'outcomeUnknown'
  */
 export function concludeGivenUp(failure: Failure, mayHaveRun: boolean): Failure {
-  if (!mayHaveRun || concludeFailure(failure) !== 'notRun') return failure;
+  if (!mayHaveRun || getConclusion(failure) !== 'notRun') return failure;
   if (failure.kind === 'deadlineBeforeStart') return createFailure('deadlineAfterStart');
   return createFailure('outcomeUnknown', {
     reason: 'an earlier attempt was lost and no other could be made',
--- a/src/controllers/routing/estimates.ts
+++ b/src/controllers/routing/estimates.ts
@@ -75,7 +75,7 @@
 ): ReplicaEstimate {
   const { request, isNoisyNeighbor } = estimated;
   const stats = state.replicas.get(candidate.replica);
-  const networkMs = networkLatencyMs(view.here, candidate.location);
+  const networkMs = networkLatencyMs(view.entryLocation, candidate.location);
   const workload = estimateWorkload(state, candidate, stats, networkMs, now);
   const indexedTokens = countCachedTokens(state, candidate.replica, request.prefixes);
   const cachedTokens = Math.max(
--- a/src/controllers/routing/noisy-neighbors.ts
+++ b/src/controllers/routing/noisy-neighbors.ts
@@ -117,7 +117,7 @@
 
 /** This entry's share of the replicas. */
 function replicaShare(index: CandidateIndex, view: DispatchView): number {
-  return Math.max(1, index.source.length / (view.entries ?? 1));
+  return Math.max(1, index.source.length / (view.entryCount ?? 1));
 }
 
 /** This entry's share of the batch slots of all replicas. */
--- a/src/controllers/routing/replica-selection.ts
+++ b/src/controllers/routing/replica-selection.ts
@@ -110,9 +110,10 @@
 
 function addToIndex(index: CandidateIndex, candidate: Candidate, view: DispatchView): void {
   index.byReplica.set(candidate.replica, candidate);
-  if (candidate.location.failureDomain === view.here.failureDomain)
+  if (candidate.location.failureDomain === view.entryLocation.failureDomain)
     index.sameDomain.push(candidate);
-  else if (candidate.location.region === view.here.region) index.sameRegion.push(candidate);
+  else if (candidate.location.region === view.entryLocation.region)
+    index.sameRegion.push(candidate);
   else index.otherRegions.push(candidate);
 }
 
--- a/src/controllers/routing/types.ts
+++ b/src/controllers/routing/types.ts
@@ -84,7 +84,7 @@
 /** External data that a `dispatch` call reads. */
 export interface DispatchView {
   /** Location of this entry. */
-  here: Location;
+  entryLocation: Location;
   /**
    * The eligible replicas of a model. Must return the same array while nothing changes, since the
    * index of candidates is cached by array identity.
@@ -95,7 +95,7 @@
   /** The period that `peersSent` covers. */
   peersPeriodMs?: Milliseconds;
   /** Number of entries that share the replicas, including this one. Default: 1. */
-  entries?: number;
+  entryCount?: number;
 }
 
 /** Outcome of a sent request. */
--- a/src/controllers/waiting/queue-order.ts
+++ b/src/controllers/waiting/queue-order.ts
@@ -20,7 +20,7 @@
 }
 
 /** Number of requests sent for a model since its queue was last empty. */
-export interface LinePace {
+export interface QueueThroughput {
   since: Milliseconds;
   sent: number;
 }
@@ -38,7 +38,7 @@
  * Sorts `waiting` by rank; then requests that can be on time, newest first; then the late requests,
  * oldest first, since the callers of the oldest give up soonest.
  */
-export function orderLine<Waiting extends WaitingRequest>(
+export function orderQueue<Waiting extends WaitingRequest>(
   waiting: Iterable<Waiting>,
   now: Milliseconds,
 ): Waiting[] {
@@ -54,10 +54,10 @@
  * Returns the requests of `ordered` that won't be sent before their callers give up: their time has
  * passed, or it will pass before they are sent at the measured throughput.
  */
-export function listHopeless<Waiting extends WaitingRequest>(
+export function listUnservable<Waiting extends WaitingRequest>(
   ordered: readonly Waiting[],
   now: Milliseconds,
-  { since, sent }: LinePace,
+  { since, sent }: QueueThroughput,
 ): Waiting[] {
   const observedMs = now - since;
   const sentPerMs = observedMs < MIN_OBSERVATION_MS ? Infinity : Math.max(1, sent) / observedMs;
--- a/src/core/held-bytes/held-bytes.ts
+++ b/src/core/buffered-bytes/buffered-bytes.ts
@@ -6,22 +6,22 @@
  * has not been collected yet.
  */
 
-export interface HeldBytes {
+export interface BufferedBytesTracker {
   /** Includes the result of `measure` in the total until the returned function is called. */
-  hold(measure: () => number): () => void;
+  track(measure: () => number): () => void;
   /** Returns the current total over all registered buffers. */
-  sum(): number;
+  total(): number;
 }
 
 /**
  * Creates a tracker without registered buffers.
  *
- * @example const release = createHeldBytes().hold(() => response.writableLength);
+ * @example const release = createBufferedBytesTracker().track(() => response.writableLength);
  */
-export function createHeldBytes(): HeldBytes {
+export function createBufferedBytesTracker(): BufferedBytesTracker {
   const sources = new Set<() => number>();
   return {
-    hold: (measure) => {
+    track: (measure) => {
       // The wrapper makes each registration distinct, even if callers share one `measure` function.
       const source = (): number => measure();
       sources.add(source);
@@ -29,7 +29,7 @@
         sources.delete(source);
       };
     },
-    sum: () => {
+    total: () => {
       let bytes = 0;
       for (const measure of sources) bytes += measure();
       return bytes;
--- /dev/null
+++ b/src/core/buffered-bytes/index.ts
@@ -0,0 +1,1 @@
+export * from './buffered-bytes.js';
--- a/src/core/collections/memoize-latest.ts
+++ b/src/core/collections/memoize-latest.ts
@@ -6,9 +6,9 @@
  * Wraps `compute` so that it runs again only when an input differs from the previous call. Inputs are
  * compared with `Object.is`, so they must be replaced rather than mutated.
  *
- * @example const domainsOf = keepLatest((fleet: ServingFleet) => groupByDomain(fleet));
+ * @example const domainsOf = memoizeLatest((fleet: ServingFleet) => groupByDomain(fleet));
  */
-export function keepLatest<Inputs extends readonly unknown[], Value>(
+export function memoizeLatest<Inputs extends readonly unknown[], Value>(
   compute: (...inputs: Inputs) => Value,
 ): (...inputs: Inputs) => Value {
   let latest: { inputs: Inputs; value: Value } | undefined;
--- a/src/core/errors/failure.ts
+++ b/src/core/errors/failure.ts
@@ -37,6 +37,6 @@
 }
 
 /** Returns what a caller may conclude about the request that ended in `failure`. */
-export function concludeFailure(failure: Failure): Conclusion {
+export function getConclusion(failure: Failure): Conclusion {
   return ERRORS[failure.kind].conclusion;
 }
--- a/src/core/held-bytes/index.ts
+++ /dev/null
@@ -1,1 +0,0 @@
-export * from './held-bytes.js';
--- a/src/core/metrics/metrics.ts
+++ b/src/core/metrics/metrics.ts
@@ -7,7 +7,7 @@
 import { collectDefaultMetrics, Counter, Gauge, Histogram, Registry } from 'prom-client';
 import type { Milliseconds } from '../clock/index.js';
 import type { ErrorKind } from '../errors/index.js';
-import type { HeldBytes } from '../held-bytes/index.js';
+import type { BufferedBytesTracker } from '../buffered-bytes/index.js';
 
 /** Histograms of one workspace and request class. Observed in milliseconds, exported in seconds. */
 export interface RequestTimings {
@@ -52,7 +52,7 @@
  *
  * @example createMetrics().timingsOf('market-east', 'gate').whole(480);
  */
-export function createMetrics(unreadBytes?: HeldBytes): Metrics {
+export function createMetrics(unreadBytes?: BufferedBytesTracker): Metrics {
   const registry = new Registry();
   collectDefaultMetrics({ register: registry });
   const histograms = createHistograms(registry);
@@ -99,13 +99,13 @@
   };
 }
 
-function registerUnreadBytes(registry: Registry, unreadBytes: HeldBytes): void {
+function registerUnreadBytes(registry: Registry, unreadBytes: BufferedBytesTracker): void {
   new Gauge({
     name: 'yuccasail_unread_answer_bytes',
     help: 'Bytes of streams and downloads that wait in the entry until their callers read on.',
     registers: [registry],
     collect() {
-      this.set(unreadBytes.sum());
+      this.set(unreadBytes.total());
     },
   });
 }
--- a/src/core/timeout/timeout.ts
+++ b/src/core/timeout/timeout.ts
@@ -10,7 +10,7 @@
  * Rejects without waiting for `call`, because undici handles an aborted signal only once connected:
  * a call to an unresponsive address would otherwise last until the connect timeout.
  */
-export async function callWithin<Value>(
+export async function callWithTimeout<Value>(
   ms: Milliseconds,
   call: (signal: AbortSignal) => Promise<Value>,
   parentSignal?: AbortSignal,
--- a/src/entry/calls/once-calls.ts
+++ b/src/entry/calls/once-calls.ts
@@ -6,18 +6,18 @@
 import {
   beginCall,
   checkKey,
-  isFateOpen,
+  isOutcomePending,
   isSameCall,
-  joinOpenCall,
+  resolveOpenCall,
   MAX_HELD_ANSWER_BYTES,
   MAX_OPEN_CALLS,
   nameRecord,
-  observeClaim,
+  checkClaimantLost,
   stepCall,
   UNAVAILABLE_RETRY_MS,
   type CallAction,
   type CallEvent,
-  type CallFacts,
+  type CallContext,
   type CallProgress,
   type CallStep,
   type KeyAge,
@@ -81,14 +81,14 @@
   let stopping = false;
   let resolveEmpty: (() => void) | undefined;
 
-  function createCallFacts(): CallFacts {
+  function createCallFacts(): CallContext {
     const now = clock.now();
     return {
       now,
       claimant,
       createNonce: randomUUID,
       isClaimantLost: (record, stored) =>
-        observeClaim(
+        checkClaimantLost(
           observedClaims,
           record,
           stored,
@@ -134,12 +134,12 @@
     call: OnceCall,
     send: () => Promise<SendOutcome>,
   ): Promise<OnceOutcome> {
-    if (!isFateOpen(existing.progress) || !isSameCall(call, existing.progress.call)) {
-      return joinOpenCall(existing.progress, call);
+    if (!isOutcomePending(existing.progress) || !isSameCall(call, existing.progress.call)) {
+      return resolveOpenCall(existing.progress, call);
     }
     await waitForRecord(existing, call.deadlineAt);
     const remaining = openCalls.get(name);
-    return remaining ? joinOpenCall(remaining.progress, call) : run(call, send);
+    return remaining ? resolveOpenCall(remaining.progress, call) : run(call, send);
   }
 
   async function waitForRecord(
--- a/src/entry/calls/record-collector.ts
+++ b/src/entry/calls/record-collector.ts
@@ -9,7 +9,7 @@
   listDueHours,
   MAX_LISTED_RECORDS,
   nameHour,
-  noteSettled,
+  addSettledRecord,
   planRemoval,
   takeUnlisted,
   type KeyAge,
@@ -178,7 +178,7 @@
 
   return {
     trackSettled: (name, version, age) => {
-      noteSettled(unlisted, { name, version }, age, wallClock(), retentionMs());
+      addSettledRecord(unlisted, { name, version }, age, wallClock(), retentionMs());
     },
     list: () => enqueue(list),
     collect: () => enqueue(collect),
--- a/src/entry/calls/record-writer.ts
+++ b/src/entry/calls/record-writer.ts
@@ -5,8 +5,8 @@
 import {
   admitClaim,
   createBatching,
-  noteBatchFailed,
-  noteBatchTaken,
+  recordBatchFailure,
+  recordBatchSuccess,
   planBatch,
   type ClaimAdmission,
   type WaitingWrite,
@@ -71,7 +71,7 @@
 
   function reportOutcomes(batch: readonly WaitingWrite[], outcomes: readonly WriteOutcome[]): void {
     if (batching.failures > 0) logger.log('callRecordsAvailable');
-    noteBatchTaken(batching);
+    recordBatchSuccess(batching);
     batch.forEach((waiting, index) => {
       const outcome = outcomes[index];
       if (outcome !== undefined) report(waiting.write.name, toEvent(waiting, outcome));
@@ -80,14 +80,24 @@
 
   function reportFailure(batch: readonly WaitingWrite[], failure: Failure): void {
     if (batching.failures === 0) logger.log('callRecordsUnavailable', { reason: failure.message });
-    const rejected = noteBatchFailed(batching, clock.now(), random, failure.retryAfterMs);
+    const rejected = recordBatchFailure(batching, clock.now(), random, failure.retryAfterMs);
     // Only `platformUnavailable` guarantees that the writes had no effect and never will.
     const mayTakeEffect = failure.kind !== 'platformUnavailable';
     for (const { write } of batch) {
-      report(write.name, { kind: 'writeFailed', nonce: write.nonce, failure, left: mayTakeEffect });
+      report(write.name, {
+        kind: 'writeFailed',
+        nonce: write.nonce,
+        failure,
+        mayTakeEffect,
+      });
     }
     for (const { write } of rejected) {
-      report(write.name, { kind: 'writeFailed', nonce: write.nonce, failure, left: false });
+      report(write.name, {
+        kind: 'writeFailed',
+        nonce: write.nonce,
+        failure,
+        mayTakeEffect: false,
+      });
     }
   }
 
@@ -99,7 +109,7 @@
       // Requests that arrive in the same turn of the event loop share a batch.
       queueMicrotask(sendDueBatches);
     },
-    pending: () => batching.waiting.length + batching.underWay,
+    pending: () => batching.waiting.length + batching.inFlight,
     close: () => {
       closed = true;
       clearTimeout(timer);
--- a/src/entry/configuration/create-configuration.ts
+++ b/src/entry/configuration/create-configuration.ts
@@ -9,9 +9,9 @@
   composeInstances,
   createObjectState,
   exportChanges,
-  findNewest,
+  findNewestVersion,
   findPullStart,
-  KEPT_KINDS,
+  WATCHED_KINDS,
   mergeObjects,
   type ObjectChanges,
 } from '../../controllers/configuration/index.js';
@@ -46,7 +46,7 @@
     const previous = state;
     state = mergeObjects(state, changes);
     if (state === previous) return;
-    newestVersion = findNewest(state);
+    newestVersion = findNewestVersion(state);
     writers.configuration.write(composeConfiguration(state, confirmedAt));
     logger.log('configurationInForce', { revision: state.revision });
     logRejected(changes.objects);
@@ -97,7 +97,7 @@
     });
   };
   const refresh = async (): Promise<void> => {
-    const list = await platform.watch(KEPT_KINDS, state.revision, 0);
+    const list = await platform.watch(WATCHED_KINDS, state.revision, 0);
     if (list.isOk() && !isStopped) applyList(list.value);
   };
   /**
--- a/src/entry/configuration/platform-watch.ts
+++ b/src/entry/configuration/platform-watch.ts
@@ -2,8 +2,8 @@
  * This entry's own watch of the platform, started and stopped as the fleet changes.
  */
 import { createWatchLoop, type ObjectList, type WatchLoop } from '../../adapters/platform/index.js';
-import { KEPT_KINDS } from '../../controllers/configuration/index.js';
-import { listWatchMs } from '../../controllers/limits/index.js';
+import { WATCHED_KINDS } from '../../controllers/configuration/index.js';
+import { maxWatchMs } from '../../controllers/limits/index.js';
 import type { EntryContext } from '../types.js';
 
 /** A watch that can be restarted after it was stopped. */
@@ -28,8 +28,8 @@
     isReached = false;
     const started = createWatchLoop({
       platform,
-      kinds: KEPT_KINDS,
-      waitMs: listWatchMs(settings.limits.viewFreshMs, settings.platform.watchMs),
+      kinds: WATCHED_KINDS,
+      waitMs: maxWatchMs(settings.limits.viewFreshMs, settings.platform.watchMs),
       since: revision(),
       random,
       logger,
--- a/src/entry/create-entry.ts
+++ b/src/entry/create-entry.ts
@@ -21,7 +21,10 @@
 import { createEligibleReplicas } from '../controllers/health/index.js';
 import { createSystemClock } from '../core/clock/index.js';
 import { createFailure, type Failure } from '../core/errors/index.js';
-import { createHeldBytes, type HeldBytes } from '../core/held-bytes/index.js';
+import {
+  createBufferedBytesTracker,
+  type BufferedBytesTracker,
+} from '../core/buffered-bytes/index.js';
 import { createLogger } from '../core/logger/index.js';
 import { createMetrics } from '../core/metrics/index.js';
 import { createRandom } from '../core/random/index.js';
@@ -107,7 +110,7 @@
 interface EntryResources {
   platform: PlatformClient;
   engines: EngineClient;
-  unreadBytes: HeldBytes;
+  unreadBytes: BufferedBytesTracker;
 }
 
 /** Created only after the peer listener is open, since they need its address. */
@@ -138,7 +141,7 @@
   const random = createRandom(randomInt(MAX_SEED));
   const { address, timeoutMs } = settings.platform;
   const platform = createPlatformClient({ address, timeoutMs, random, logger });
-  const unread = createHeldBytes();
+  const unread = createBufferedBytesTracker();
   const engines = createEngineClient({}, unread);
   return {
     identity: {
--- a/src/entry/health/health-passing.ts
+++ b/src/entry/health/health-exchange.ts
@@ -8,7 +8,7 @@
   readHealthDigest,
   type HealthDigest,
 } from '../../controllers/health/index.js';
-import { EXTENSION_LENGTH } from '../../controllers/membership/index.js';
+import { MAX_EXTENSION_LENGTH } from '../../controllers/membership/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import { parseJson } from '../../core/json/index.js';
 import type { DigestExtension } from '../membership/index.js';
@@ -21,7 +21,7 @@
   /** Instances that this entry saw fail, with no good report or answer since. */
   readFailing(): Iterable<string>;
   /** Stores what a peer reported. */
-  keep(
+  storeReports(
     health: ReadonlyMap<string, InstanceHealth>,
     load: ReadonlyMap<string, ReplicaLoad>,
     failing: readonly string[],
@@ -29,7 +29,7 @@
 }
 
 /** The `health` extension of the digests. */
-export interface HealthPassing extends DigestExtension {
+export interface HealthExchange extends DigestExtension {
   /** Call on every tick: a long gap between two ticks means that the process was paused. */
   noteTick(): void;
   /** Whether the process was paused at some point after `since`. */
@@ -55,10 +55,10 @@
 const PAUSE_THRESHOLD_MS = 500;
 
 /** Creates the health exchange of one entry. */
-export function createHealthPassing(
+export function createHealthExchange(
   context: EntryContext,
   dependencies: HealthExchangeDependencies,
-): HealthPassing {
+): HealthExchange {
   const { board, clock, settings } = context;
   const relayWindowMs = settings.health.probeEveryMs * RELAY_WINDOW_PROBES;
   const peerDigests = new Map<string, KnownDigest>();
@@ -83,7 +83,7 @@
     const received = { digest, failedBefore, ageMs: ageMs + TRANSIT_ALLOWANCE_MS };
     const view = { plans: board.plans.read(), readHealth: dependencies.readHealth };
     const update = readHealthDigest(view, received, now);
-    dependencies.keep(update.health, update.load, update.failing);
+    dependencies.storeReports(update.health, update.load, update.failing);
     // Relays the failures to entries that the peer does not reach itself.
     if (update.failing.length > 0) announce();
   }
@@ -97,7 +97,7 @@
         assigned: dependencies.readAssigned(),
         failing: dependencies.readFailing(),
         withinMs: relayWindowMs,
-        textLength: EXTENSION_LENGTH,
+        textLength: MAX_EXTENSION_LENGTH,
       };
       return JSON.stringify(composeHealthDigest(source, clock.now()));
     },
--- a/src/entry/health/health-part.ts
+++ b/src/entry/health/health-part.ts
@@ -6,7 +6,7 @@
 import {
   assignProbes,
   listDueProbes,
-  recordAnswer,
+  recordResponse,
   recordFailure,
   recordReport,
   type ProbeState,
@@ -16,7 +16,7 @@
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { DigestExtension } from '../membership/index.js';
 import type { EntryContext, Part } from '../types.js';
-import { createHealthPassing } from './health-passing.js';
+import { createHealthExchange } from './health-exchange.js';
 
 /** Probes engines and receives the outcomes of requests from the request path. */
 export interface HealthPart extends Part {
@@ -52,11 +52,11 @@
   let assignmentKey = '';
   /** Instances that this entry saw fail, with no good report or answer since. */
   const locallyFailing = new Set<string>();
-  const healthExchange = createHealthPassing(context, {
+  const healthExchange = createHealthExchange(context, {
     readHealth,
     readAssigned: () => assignedEngines,
     readFailing: () => locallyFailing,
-    keep: (health, load, failures) => {
+    storeReports: (health, load, failures) => {
       for (const [name, received] of health) pendingHealth.set(name, received);
       for (const [id, received] of load) {
         const previous = pendingLoads.get(id) ?? board.load.read().get(id);
@@ -191,7 +191,7 @@
     keepReport,
     reportAnswer: (instance) => {
       if (readHealth(instance)?.failingSince === undefined) return;
-      pendingHealth.set(instance, recordAnswer(clock.now()));
+      pendingHealth.set(instance, recordResponse(clock.now()));
       locallyFailing.delete(instance);
       flush();
     },
--- a/src/entry/limits/create-limits.ts
+++ b/src/entry/limits/create-limits.ts
@@ -6,12 +6,12 @@
   exportLimitDigest,
   importLimitDigest,
   limitDigestSchema,
-  listWatchMs,
+  maxWatchMs,
   observeDemands,
   observeEntries,
   splitShares,
   type LimitedWorkspace,
-  type ListNews,
+  type EntryListStatus,
 } from '../../controllers/limits/index.js';
 import type { WorkspaceDemand } from '../../board/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
@@ -82,16 +82,16 @@
 function getEntryListStatus(
   { board, identity, settings }: EntryContext,
   platformConfirmedAt: Milliseconds,
-): ListNews {
+): EntryListStatus {
   const { instances, revision } = board.fleet.read();
   const { watchMs, timeoutMs } = settings.platform;
   return {
     self: identity.name,
     listed: [...instances].filter(([, { role }]) => role === 'entry').map(([name]) => name),
     revision,
-    platformAt: platformConfirmedAt,
+    platformConfirmedAt,
     peers: [...board.peers.read().values()],
-    contactMs: listWatchMs(settings.limits.viewFreshMs, watchMs) + timeoutMs,
+    maxContactAgeMs: maxWatchMs(settings.limits.viewFreshMs, watchMs) + timeoutMs,
   };
 }
 
--- a/src/entry/membership/create-membership.ts
+++ b/src/entry/membership/create-membership.ts
@@ -3,19 +3,19 @@
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { PeerClient } from '../../adapters/peers/index.js';
-import { judgeReadiness, shouldProbePlatform } from '../../controllers/configuration/index.js';
+import { evaluateReadiness, shouldProbePlatform } from '../../controllers/configuration/index.js';
 import {
   choosePullSource,
-  forgetPeers,
+  removeExpiredPeers,
   hasCaughtUp,
-  isOwnChangeKnown,
-  listDeparted,
-  listLive,
+  isOwnChangeReplicated,
+  listDepartedPeers,
+  listLivePeers,
   listPeers,
   receiveMessage,
   shouldWatch,
   type DigestMessage,
-  type Receipt,
+  type ReceiveResult,
 } from '../../controllers/membership/index.js';
 import type { ConfigurationPart } from '../configuration/index.js';
 import type { EntryContext } from '../types.js';
@@ -52,11 +52,11 @@
 
   const hasPeers = (): boolean => rounds.listTargets().length > 0;
   const readiness = () =>
-    judgeReadiness(
+    evaluateReadiness(
       {
         startedAt,
-        platformAt: configuration.platformAt(),
-        peerAt: lastPeerContactAt,
+        platformConfirmedAt: configuration.platformAt(),
+        peerHeardAt: lastPeerContactAt,
         caughtUp,
         hasPeers: hasPeers(),
         revision: configuration.revision(),
@@ -80,11 +80,11 @@
     for (const name of previousPeers.keys())
       if (!livePeers.has(name)) logger.log('peerSilent', { peer: name });
   };
-  const processReceipt = (receipt: Receipt): void => {
+  const processReceipt = (receipt: ReceiveResult): void => {
     const now = clock.now();
     lastPeerContactAt = now;
     for (const record of receipt.updated) self.import(record, now);
-    const live = listLive(state, forgetMs, now);
+    const live = listLivePeers(state, forgetMs, now);
     const revision = configuration.revision();
     const needsPeer = !caughtUp && configuration.needsPeer();
     const newest = configuration.newestVersion();
@@ -95,7 +95,7 @@
     caughtUp ||= !needsPeer && hasCaughtUp(live, revision, newest);
     publishPeers();
   };
-  const receive = (message: DigestMessage): Receipt => {
+  const receive = (message: DigestMessage): ReceiveResult => {
     const receipt = receiveMessage(state, message, clock.now());
     processReceipt(receipt);
     return receipt;
@@ -104,11 +104,11 @@
 
   const runMaintenance = (): void => {
     const now = clock.now();
-    forgetPeers(state, now - forgetMs * DIGEST_RETENTION_FACTOR);
+    removeExpiredPeers(state, now - forgetMs * DIGEST_RETENTION_FACTOR);
     publishPeers();
     fleet.update();
     const location = { name: identity.name, failureDomain: identity.failureDomain };
-    const live = listLive(state, forgetMs, now);
+    const live = listLivePeers(state, forgetMs, now);
     configuration.setWatching(shouldWatch({ self: location, peers: live, forgetMs }, now));
     const lastContactAt = Math.max(lastPeerContactAt, configuration.platformAt());
     if (shouldProbePlatform(lastContactAt, forgetMs, now)) configuration.probe();
@@ -128,7 +128,7 @@
     },
     readiness,
     summaries: () => [...state.summaries.values()],
-    departed: () => listDeparted(state, forgetMs, clock.now()),
+    departed: () => listDepartedPeers(state, forgetMs, clock.now()),
     markLeaving: (instance, version) => {
       fleet.mergeMarks([{ instance, version }]);
     },
@@ -136,13 +136,13 @@
       self.announceStopping();
       rounds.requestRound();
     },
-    whenHandedOver: async (timeoutMs) => {
+    whenDigestDelivered: async (timeoutMs) => {
       // Peers wait for the final counts of requests in flight, which the last digest carries.
       self.advance();
       rounds.requestRound();
       const { change } = state.self;
       const deadlineAt = clock.now() + timeoutMs;
-      while (!isOwnChangeKnown(state, change, forgetMs, clock.now())) {
+      while (!isOwnChangeReplicated(state, change, forgetMs, clock.now())) {
         if (clock.now() >= deadlineAt) return false;
         await sleep(HAND_OVER_POLL_MS);
       }
--- a/src/entry/membership/fleet-writer.ts
+++ b/src/entry/membership/fleet-writer.ts
@@ -3,10 +3,10 @@
  * marks of peers.
  */
 import {
-  adoptMarks,
+  mergeLeavingMarks,
   composeFleet,
-  listMarks,
-  updateMarks,
+  listActiveLeavingMarks,
+  updateLeavingMarks,
   type LeavingMark,
   type LeavingMarks,
 } from '../../controllers/membership/index.js';
@@ -40,7 +40,7 @@
 
   const update = (): void => {
     const { instances } = configuration;
-    marks = updateMarks(marks, instances.read(), board.health.read(), clock.now());
+    marks = updateLeavingMarks(marks, instances.read(), board.health.read(), clock.now());
     const previous = writers.fleet.read();
     const next = composeFleet(instances.read(), marks);
     const hasSameLeaving =
@@ -67,9 +67,9 @@
     },
     mergeMarks: (peerMarks) => {
       const previous = marks;
-      marks = adoptMarks(marks, peerMarks, clock.now());
+      marks = mergeLeavingMarks(marks, peerMarks, clock.now());
       if (marks !== previous) update();
     },
-    currentMarks: () => listMarks(marks),
+    currentMarks: () => listActiveLeavingMarks(marks),
   };
 }
--- a/src/entry/membership/rounds.ts
+++ b/src/entry/membership/rounds.ts
@@ -6,16 +6,16 @@
 import {
   composeMessage,
   confirmMessage,
-  findSpendable,
+  computeSpendableBytes,
   isLargeFleet,
-  listLive,
-  listRelayed,
+  listLivePeers,
+  selectRelayedPeers,
   listSummaries,
   planRound,
   refillBudget,
   type ByteBudget,
   type DigestMessage,
-  type Receipt,
+  type ReceiveResult,
   type RoundTarget,
 } from '../../controllers/membership/index.js';
 import type { EntryContext } from '../types.js';
@@ -36,7 +36,7 @@
 export interface RoundDependencies {
   peers: PeerClient;
   self: SelfDigest;
-  receive(message: DigestMessage): Receipt;
+  receive(message: DigestMessage): ReceiveResult;
 }
 
 export interface GossipRounds {
@@ -76,7 +76,7 @@
       if (instance.role !== 'entry' || address === undefined) continue;
       targets.set(address, { address, name, failureDomain });
     }
-    for (const { name, content } of listLive(state, forgetMs, clock.now())) {
+    for (const { name, content } of listLivePeers(state, forgetMs, clock.now())) {
       const { peerAddress: address, failureDomain } = content;
       targets.set(address, { address, name, failureDomain });
     }
@@ -85,10 +85,10 @@
   };
   const composeDigest = (target: string | undefined, failureDomain?: string): DigestMessage => {
     const now = clock.now();
-    const live = listLive(state, forgetMs, now);
+    const live = listLivePeers(state, forgetMs, now);
     const isLarge = isLargeFleet(listTargets().length);
     const ownDomain = identity.failureDomain;
-    const relayed = listRelayed({
+    const relayed = selectRelayedPeers({
       peers: live,
       isLarge,
       failureDomain: ownDomain,
@@ -119,7 +119,7 @@
         failureDomain: identity.failureDomain,
         targets: listTargets(),
         fanOut,
-        bytesLeft: findSpendable(budget, bytesPerSecond, isUrgent),
+        bytesLeft: computeSpendableBytes(budget, bytesPerSecond, isUrgent),
         bytesPerExchange: ESTIMATED_EXCHANGE_BYTES,
       },
       random,
--- a/src/entry/membership/self-digest.ts
+++ b/src/entry/membership/self-digest.ts
@@ -5,7 +5,7 @@
 import { listDraining } from '../../controllers/drains/index.js';
 import {
   advanceSelf,
-  composeContent,
+  buildDigestContent,
   createGossipState,
   type DigestContent,
   type GossipState,
@@ -41,7 +41,7 @@
   let isStopping = false;
 
   const compose = (): DigestContent =>
-    composeContent({
+    buildDigestContent({
       peerAddress: identity.peerAddress,
       region: identity.region,
       failureDomain: identity.failureDomain,
--- a/src/entry/membership/types.ts
+++ b/src/entry/membership/types.ts
@@ -10,7 +10,7 @@
 /** Data that another part adds to this entry's digest and reads from the digests of peers. */
 export interface DigestExtension {
   name: 'health' | 'limits';
-  /** JSON text in its own schema, at most `EXTENSION_LENGTH` characters; undefined to omit it. */
+  /** JSON text in its own schema, at most `MAX_EXTENSION_LENGTH` characters; undefined to omit it. */
   export(): string | undefined;
   /** Called when the digest of `peer` changed; `ageMs` is the age of the digest. */
   import(peer: string, text: string, ageMs: Milliseconds): void;
@@ -41,5 +41,5 @@
   /** Marks this entry as stopping in its digest. */
   announceStopping(): void;
   /** Resolves true once enough peers hold this entry's latest digest, false after `timeoutMs`. */
-  whenHandedOver(timeoutMs: Milliseconds): Promise<boolean>;
+  whenDigestDelivered(timeoutMs: Milliseconds): Promise<boolean>;
 }
--- a/src/entry/operations/create-operations.ts
+++ b/src/entry/operations/create-operations.ts
@@ -4,7 +4,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { errAsync, okAsync, type ResultAsync } from 'neverthrow';
 import type { Operations, Refusal } from '../../adapters/operators/index.js';
-import { judgeAcceptance, type Acceptance } from '../../controllers/configuration/index.js';
+import { evaluateAcceptance, type Acceptance } from '../../controllers/configuration/index.js';
 import {
   describeModels,
   describeServices,
@@ -39,7 +39,7 @@
   const writer = createObjectWriter(context, dependencies);
 
   const checkAcceptance = (revision: number): Acceptance =>
-    judgeAcceptance({
+    evaluateAcceptance({
       revision,
       self: {
         name: identity.name,
--- a/src/entry/operations/drains.ts
+++ b/src/entry/operations/drains.ts
@@ -3,7 +3,7 @@
  */
 import type { DrainStatus } from '../../adapters/operators/index.js';
 import type { Health, Plans } from '../../board/index.js';
-import { judgeDrain, listDraining, listSendingEntries } from '../../controllers/drains/index.js';
+import { evaluateDrain, listDraining, listSendingEntries } from '../../controllers/drains/index.js';
 import type { Replica } from '../../objects/index.js';
 import type { MembershipPart } from '../membership/index.js';
 import type { EntryContext } from '../types.js';
@@ -24,9 +24,9 @@
       instance === undefined
         ? readReplicaCount(plans, health, target)
         : readInstanceCount(plans, health, target, instance.role);
-    const judgement = judgeDrain({
+    const judgement = evaluateDrain({
       target,
-      self: { name: identity.name, failureDomain: identity.failureDomain, inFlight: inFlight },
+      self: { name: identity.name, failureDomain: identity.failureDomain, inFlight },
       entries: sendingEntries,
       peers,
       summaries: membership.summaries(),
--- a/src/entry/replicas/replicas-part.ts
+++ b/src/entry/replicas/replicas-part.ts
@@ -2,20 +2,20 @@
  * Plans the fabric domains that this entry owns and sends orders to their engines.
  */
 import { createWatchLoop } from '../../adapters/platform/index.js';
-import { countEntries, findWatchPause } from '../../controllers/membership/index.js';
+import { countEntries, computeWatchDelay } from '../../controllers/membership/index.js';
 import {
   beginWrite,
-  concludeRead,
+  applyRead,
   decideHandOver,
   decideOwnership,
   DEFAULT_ESTIMATES,
   describeSupply,
-  doubtWrite,
+  markWriteUncertain,
   findOrderStart,
   findPlanWatchMs,
   findTakeOverTime,
-  groupDomains,
-  listDrained,
+  groupInstancesByDomain,
+  listDrainedReplicas,
   listOrders,
   listRestoreOrders,
   locateDomain,
@@ -23,7 +23,7 @@
   planDomain,
   rankOwners,
   splitDemand,
-  updateHistory,
+  updateLossHistory,
   type DomainMembers,
   type DomainShare,
   type DomainState,
@@ -95,7 +95,7 @@
     platform,
     kinds: ['domain-plan'],
     waitMs: findPlanWatchMs(leaseMs, settings.platform.watchMs),
-    pauseMs: () => findWatchPause(countEntries(board.fleet.read())),
+    pauseMs: () => computeWatchDelay(countEntries(board.fleet.read())),
     random,
     logger,
     onList: ({ objects }) => {
@@ -118,14 +118,14 @@
     isPlatformDown = false;
     for (const domain of board.plans.read().keys()) {
       const state = store.read(domain);
-      if (state.lease !== undefined) store.write(domain, doubtWrite(state));
+      if (state.lease !== undefined) store.write(domain, markWriteUncertain(state));
     }
   }
 
   function tick(): void {
     detectPause();
     if (isStopping) return;
-    const domains = groupDomains(board.fleet.read(), board.health.read());
+    const domains = groupInstancesByDomain(board.fleet.read(), board.health.read());
     const candidates = listCandidates();
     const shares = computeShares(domains);
     for (const [domain, members] of domains) {
@@ -167,7 +167,7 @@
     const plan = state.stored?.plan ?? { fence: 0, replicas: [], spares: [] };
     const timing = { estimates, watchingSince };
     const previous = histories.get(domain) ?? new Map();
-    const history = updateHistory({ ...timing, members, history: previous }, now);
+    const history = updateLossHistory({ ...timing, members, history: previous }, now);
     histories.set(domain, history);
     return {
       ...timing,
@@ -177,7 +177,7 @@
       history,
       models: new Map([...models].map(([name, { value }]) => [name, value])),
       wanted: share?.wanted ?? new Map<string, number>(),
-      drained: listDrained(plan, readInFlight(), now),
+      drained: listDrainedReplicas(plan, readInFlight(), now),
       objective: policy.objective,
       fencingChecked: policy.fencingChecked,
     };
@@ -266,7 +266,7 @@
     const stored = answer.value === undefined ? undefined : store.parse(answer.value);
     // An existing but invalid object must not be overwritten as if it were absent.
     if (answer.value !== undefined && !answer.value.deleted && stored === undefined) return;
-    store.write(domain, concludeRead(store.read(domain), stored, self, clock.now()));
+    store.write(domain, applyRead(store.read(domain), stored, self, clock.now()));
   }
 
   async function writePlan(
@@ -286,12 +286,12 @@
     const after = store.read(domain);
     isPlatformDown = answer.isErr();
     if (answer.isErr()) {
-      store.write(domain, doubtWrite(after));
+      store.write(domain, markWriteUncertain(after));
       return;
     }
     const object = answer.value.kind === 'written' ? answer.value.object : answer.value.current;
     const stored = object === undefined ? undefined : store.parse(object);
-    store.write(domain, concludeRead(after, stored, self, clock.now()));
+    store.write(domain, applyRead(after, stored, self, clock.now()));
     logWrite(domain, action, answer.value.kind === 'written', reasons);
   }
 
--- a/src/entry/requests/create-requests.ts
+++ b/src/entry/requests/create-requests.ts
@@ -56,7 +56,7 @@
       stopping = true;
     },
     isStopping: () => stopping,
-    noteCut: () => {
+    markGracePeriodOver: () => {
       isGracePeriodOver = true;
       context.logger.log('stopGraceOver', { requests: openRequests.count() });
     },
--- a/src/entry/requests/dispatcher.ts
+++ b/src/entry/requests/dispatcher.ts
@@ -21,7 +21,7 @@
 import type { EntryContext, Part } from '../types.js';
 
 /** Result of waiting for dispatch: a replica to send to, or a refusal. */
-export type Grant =
+export type DispatchResult =
   | { kind: 'send'; candidate: Candidate; isCrowding: boolean }
   | { kind: 'refused'; failure: Failure };
 
@@ -29,7 +29,7 @@
   /** Also used to select service instances. */
   state: DispatchState;
   /** Queues a request. Calls `onResult` once, possibly synchronously, unless it is withdrawn. */
-  offer(request: WaitingRequest, onResult: (result: Grant) => void): void;
+  offer(request: WaitingRequest, onResult: (result: DispatchResult) => void): void;
   withdraw(ticket: string): void;
   reportFirstToken(ticket: string): void;
   /** Reports the end of a request that was sent, successful or not. */
@@ -40,20 +40,20 @@
 export function createDispatcher(context: EntryContext, eligible: EligibleReplicas): Dispatcher {
   const { board, clock, random, settings, identity } = context;
   const state = createDispatchState();
-  const callbacks = new Map<string, (result: Grant) => void>();
+  const callbacks = new Map<string, (result: DispatchResult) => void>();
   const getPeerSentCounts = createPeerSentCounts();
   const unsubscribers: (() => void)[] = [];
   let timer: NodeJS.Timeout | undefined;
   let scheduledRun: NodeJS.Immediate | undefined;
 
   const view: DispatchView = {
-    here: { region: identity.region, failureDomain: identity.failureDomain },
+    entryLocation: { region: identity.region, failureDomain: identity.failureDomain },
     candidatesOf: (model) => eligible.list(model, clock.now()),
     get peersSent() {
       return getPeerSentCounts(board.peers.read());
     },
     peersPeriodMs: settings.membership.digestEveryMs,
-    get entries() {
+    get entryCount() {
       return board.peers.read().size + 1;
     },
   };
--- a/src/entry/requests/replica-loss-monitor.ts
+++ b/src/entry/requests/replica-loss-monitor.ts
@@ -1,7 +1,7 @@
 /**
  * Monitors replicas that are serving requests and detects the loss of a member.
  */
-import { findLoss, type ServingReplica } from '../../controllers/health/index.js';
+import { findReplicaLoss, type ServingReplica } from '../../controllers/health/index.js';
 import type { EntryContext, Part } from '../types.js';
 
 export interface ReplicaLossMonitor extends Part {
@@ -45,7 +45,8 @@
     for (const watch of [...watches]) {
       const { serving, onLoss } = watch;
       const key = `${serving.replica}/${serving.fence}`;
-      if (!reasons.has(key)) reasons.set(key, describeLoss(findLoss(view, serving, now, freshMs)));
+      if (!reasons.has(key))
+        reasons.set(key, describeLoss(findReplicaLoss(view, serving, now, freshMs)));
       const reason = reasons.get(key);
       if (reason === undefined) continue;
       watches.delete(watch);
@@ -70,7 +71,7 @@
   };
 }
 
-function describeLoss(loss: ReturnType<typeof findLoss>): string | undefined {
+function describeLoss(loss: ReturnType<typeof findReplicaLoss>): string | undefined {
   if (loss === undefined) return undefined;
   if (loss.kind === 'phase') return 'the replica was taken apart';
   return `the replica has lost ${loss.member}: ${loss.kind}`;
--- a/src/entry/requests/request-log.ts
+++ b/src/entry/requests/request-log.ts
@@ -4,7 +4,7 @@
  */
 import type { RequestHead } from '../../adapters/callers/index.js';
 import type { AttemptEnd, RetryDecision } from '../../controllers/retries/types.js';
-import { concludeFailure, type Failure } from '../../core/errors/index.js';
+import { getConclusion, type Failure } from '../../core/errors/index.js';
 import type { LogEventName, Logger, LogValues } from '../../core/logger/index.js';
 
 /** Logs a request that ended without a complete response. */
@@ -35,7 +35,7 @@
 
 function selectEventName(failure: Failure): LogEventName {
   if (failure.kind === 'callerGone') return 'requestAbandoned';
-  switch (concludeFailure(failure)) {
+  switch (getConclusion(failure)) {
     case 'notRun':
     case 'refused':
       return 'requestRefused';
--- a/src/entry/requests/service-calls.ts
+++ b/src/entry/requests/service-calls.ts
@@ -153,7 +153,7 @@
       default:
     }
     run.mayHaveRun ||= end.kind !== 'notSent' && end.kind !== 'refused';
-    const decision = run.parts.retries.decide(createRetryQuestion(run, end, instance.instance));
+    const decision = run.parts.retries.decide(createRetryContext(run, end, instance.instance));
     if (decision.kind === 'answer') return decision.failure;
     run.parts.metrics.countRetry();
     logRetry(run.parts.context.logger, run.call, decision, end);
@@ -212,7 +212,7 @@
   }
 }
 
-function createRetryQuestion(
+function createRetryContext(
   run: CallRun,
   end: AttemptEnd,
   target: string,
--- a/src/entry/requests/types.ts
+++ b/src/entry/requests/types.ts
@@ -48,7 +48,7 @@
   beginStopping(): void;
   isStopping(): boolean;
   /** Marks the shutdown grace period as over: requests aborted after this were cut by the entry. */
-  noteCut(): void;
+  markGracePeriodOver(): void;
   /** Resolves when no request is open; new ones may still arrive before `beginStopping`. */
   whenIdle(): Promise<void>;
 }
--- a/src/entry/stop-entry.ts
+++ b/src/entry/stop-entry.ts
@@ -39,10 +39,10 @@
   await sleep(balancerMs);
   parts.requests.beginStopping();
   const isFinished = await finishesWithin(finishRequests(parts, balancerMs), drainMs);
-  if (!isFinished) parts.requests.noteCut();
+  if (!isFinished) parts.requests.markGracePeriodOver();
   await parts.callers.close();
   await Promise.all([handOver, parts.onceCalls.stop()]);
-  await parts.membership.whenHandedOver(DIGEST_DELIVERY_TIMEOUT_MS);
+  await parts.membership.whenDigestDelivered(DIGEST_DELIVERY_TIMEOUT_MS);
   await stopParts(parts);
   await closeConnections(parts);
   logger.log('entryStopped');
--- a/src/gateway/backends/attempt.ts
+++ b/src/gateway/backends/attempt.ts
@@ -2,7 +2,7 @@
  * One attempt to send a request to one backend server.
  */
 import type { Dispatcher } from 'undici';
-import type { AnswerHead, RequestDialect } from '../../ports/index.js';
+import type { ResponseHead, RequestCodec } from '../../ports/index.js';
 import type { BackendConnection } from './connection.js';
 import type { BackendAddress, ConnectionPool } from './pool.js';
 
@@ -20,7 +20,7 @@
 }
 
 /** The head of a response that belongs to the request. */
-export interface AttemptResponse extends AnswerHead {
+export interface AttemptResponse extends ResponseHead {
   status: number;
   headers: string[];
   /** How the end of the body is marked: content length, chunked encoding, or connection close. */
@@ -54,7 +54,7 @@
 /** Starts an attempt. */
 export type AttemptSender = (request: AttemptRequest, observer: AttemptObserver) => Attempt;
 
-export function createAttemptSender(pool: ConnectionPool, dialect: RequestDialect): AttemptSender {
+export function createAttemptSender(pool: ConnectionPool, dialect: RequestCodec): AttemptSender {
   return (request, observer) => new RunningAttempt(request, observer, pool, dialect).start();
 }
 
@@ -73,7 +73,7 @@
     private readonly request: AttemptRequest,
     private readonly observer: AttemptObserver,
     private readonly pool: ConnectionPool,
-    private readonly dialect: RequestDialect,
+    private readonly dialect: RequestCodec,
   ) {
     this.server = request.server;
     this.connection = pool.acquire(request.server, request.requiresNewConnection);
@@ -120,7 +120,7 @@
   onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
     if (this.isFinished || status < 200) return;
     const headers = readRawHeaders(controller.rawHeaders);
-    const head = this.dialect.decodeAnswer(status, headers);
+    const head = this.dialect.decodeResponse(status, headers);
     const { requestId } = this.request;
     // Guards against a late response to an earlier request on this connection.
     const isOtherRequest =
--- a/src/gateway/backends/engine-calls.ts
+++ b/src/gateway/backends/engine-calls.ts
@@ -3,8 +3,8 @@
  */
 import { Agent } from 'undici';
 import type { Milliseconds } from '../../core/clock/index.js';
-import { callWithin } from '../../core/timeout/index.js';
-import type { EngineCall, OrderDialect, OrderOutcome } from '../../ports/index.js';
+import { callWithTimeout } from '../../core/timeout/index.js';
+import type { EngineCall, OrderCodec, OrderOutcome } from '../../ports/index.js';
 import type { DueOrder, GroupMember } from '../../controllers/groups/index.js';
 
 /** Result of probing an engine. */
@@ -33,7 +33,7 @@
 }
 
 interface EngineCallsOptions {
-  dialect: OrderDialect;
+  dialect: OrderCodec;
   onProbe: () => void;
 }
 
@@ -49,7 +49,7 @@
     { method, path, headers, body }: EngineCall,
     timeoutMs: Milliseconds,
   ): Promise<CallResponse> =>
-    callWithin(timeoutMs, async (signal) => {
+    callWithTimeout(timeoutMs, async (signal) => {
       const origin = `http://${address}`;
       const request = { origin, method, path, headers, body: body ?? null, signal };
       const response = await agent.request(request);
@@ -60,7 +60,7 @@
       try {
         const encoded = dialect.encodeOrder(order, to.id);
         const { status } = await call(to.address, encoded, ORDER_TIMEOUT_MS);
-        return dialect.decodeOrder(status);
+        return dialect.decodeOutcome(status);
       } catch (error) {
         return isConnectionRefused(error)
           ? { kind: 'gone' }
--- a/src/gateway/groups/groups-part.ts
+++ b/src/gateway/groups/groups-part.ts
@@ -12,7 +12,7 @@
 import type { ServingFleet, ServingIndex } from '../../controllers/forwarding/index.js';
 import type { GatewayPeer } from '../../controllers/peering/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
-import { groupBy, keepLatest } from '../../core/collections/index.js';
+import { groupBy, memoizeLatest } from '../../core/collections/index.js';
 import type { EngineProfile } from '../../ports/index.js';
 import type { EngineCalls } from '../backends/engine-calls.js';
 import type { BackendTracker } from '../requests/backend-tracker.js';
@@ -50,10 +50,10 @@
   const ownedKeys = new Set<string>();
   const startedAt = clock.now();
   let timer: NodeJS.Timeout | undefined;
-  const memoizedDomains = keepLatest(groupByDomain);
+  const memoizedDomains = memoizeLatest(groupByDomain);
   /** Called only for owned domains, because it is expensive with hundreds of instances. */
-  const memoizedStates = keepLatest(createDomainStates);
-  const memoizedOwnerFinder = keepLatest(
+  const memoizedStates = memoizeLatest(createDomainStates);
+  const memoizedOwnerFinder = memoizeLatest(
     (peers: ReadonlyMap<string, GatewayPeer>, isPeerStateCurrent: boolean) => {
       const { name, failureDomain } = settings;
       return createOwnerFinder({
--- a/src/gateway/operations/freshness-metrics.ts
+++ b/src/gateway/operations/freshness-metrics.ts
@@ -2,7 +2,7 @@
  * Gauges for the active configuration version and the freshness of configuration and fleet.
  */
 import { Gauge } from 'prom-client';
-import { ageOf, type Proof } from '../../controllers/freshness/index.js';
+import { proofAge, type Proof } from '../../controllers/freshness/index.js';
 import type { Section } from '../../board/index.js';
 import type { GatewayContext } from '../types.js';
 
@@ -32,7 +32,7 @@
       this.reset();
       for (const [subject, section] of Object.entries(proofSections)) {
         const proof = section.read();
-        const ageMs = ageOf(proof, clock.now());
+        const ageMs = proofAge(proof, clock.now());
         if (proof === undefined || ageMs === undefined) continue;
         this.set({ subject, source: proof.source }, ageMs / MS_PER_SECOND);
       }
--- a/src/gateway/peers/catch-up.ts
+++ b/src/gateway/peers/catch-up.ts
@@ -1,7 +1,7 @@
 /**
  * Fetches newer configuration and fleet state from a peer when this gateway lags behind.
  */
-import { boundProofs } from '../../controllers/freshness/index.js';
+import { computeProofBounds } from '../../controllers/freshness/index.js';
 import { LagTracker, type Digest, type Versions } from '../../controllers/peering/index.js';
 import type { GatewayContext } from '../types.js';
 import type { PeerClient } from './rpc.js';
@@ -20,7 +20,9 @@
   client: PeerClient,
   handlers: CatchUpHandlers,
 ): () => void {
-  const lagTracker = new LagTracker(boundProofs(settings.configuration.applyMs).readEveryMs);
+  const lagTracker = new LagTracker(
+    computeProofBounds(settings.configuration.applyMs).minReadIntervalMs,
+  );
   let isCatchingUp = false;
 
   /** Picks a peer with newer state, preferably in this failure domain. */
--- a/src/gateway/peers/follow-control.ts
+++ b/src/gateway/peers/follow-control.ts
@@ -8,7 +8,7 @@
  * missed several exchanges, can't reach the store or lags behind, or when the last proof that their
  * state is current is too old.
  */
-import { ageOf, boundProofs, type Proof } from '../../controllers/freshness/index.js';
+import { proofAge, computeProofBounds, type Proof } from '../../controllers/freshness/index.js';
 import type { PeerTable } from '../../controllers/peering/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { ConfigurationPart } from '../store/configuration-part.js';
@@ -52,7 +52,8 @@
   let mode: FollowMode = 'off';
 
   const isStale = (proof: Proof | undefined, boundMs: Milliseconds, now: Milliseconds): boolean =>
-    (ageOf(proof, now) ?? Infinity) > boundProofs(boundMs).distrustAfterMs(table.hubInterval());
+    (proofAge(proof, now) ?? Infinity) >
+    computeProofBounds(boundMs).fallbackAfterMs(table.hubInterval());
   const isAnyProofStale = (now: Milliseconds): boolean =>
     isStale(board.configurationProof.read(), settings.configuration.applyMs, now) ||
     isStale(board.fleetProof.read(), settings.servers.drainMs, now);
--- a/src/gateway/peers/peers-part.ts
+++ b/src/gateway/peers/peers-part.ts
@@ -3,7 +3,7 @@
  */
 import type { ResultAsync } from 'neverthrow';
 import type { WritableSection } from '../../board/index.js';
-import { roundedAge } from '../../controllers/freshness/index.js';
+import { roundedProofAge } from '../../controllers/freshness/index.js';
 import {
   PEERING_TICK_MS,
   PeerTable,
@@ -97,8 +97,8 @@
   const createProofAges = (
     now: Milliseconds,
   ): Pick<Digest, 'configurationAgeMs' | 'fleetAgeMs'> => {
-    const configurationAgeMs = roundedAge(board.configurationProof.read(), now);
-    const fleetAgeMs = roundedAge(board.fleetProof.read(), now);
+    const configurationAgeMs = roundedProofAge(board.configurationProof.read(), now);
+    const fleetAgeMs = roundedProofAge(board.fleetProof.read(), now);
     return {
       ...(configurationAgeMs !== undefined && { configurationAgeMs }),
       ...(fleetAgeMs !== undefined && { fleetAgeMs }),
--- a/src/gateway/peers/registration.ts
+++ b/src/gateway/peers/registration.ts
@@ -8,10 +8,10 @@
 import type { ResultAsync } from 'neverthrow';
 import * as z from 'zod';
 import { knownPeerSchema, type KnownPeer } from '../../controllers/peering/index.js';
-import type { ToldQuarantine } from '../../controllers/quarantine/index.js';
+import type { QuarantineNotice } from '../../controllers/quarantine/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { Quarantine } from '../requests/quarantine.js';
-import type { WriteAnswer } from '../../ports/index.js';
+import type { WriteResult } from '../../ports/index.js';
 import type { ObjectStore, StoreFailure } from '../store/client.js';
 import type { GatewayContext } from '../types.js';
 
@@ -60,7 +60,7 @@
     const parsed = storedQuarantineSchema.safeParse(value);
     if (parsed.success) quarantine.restore(fromStoredQuarantine(parsed.data.quarantined));
   };
-  const tryWrite = (condition: number | undefined): ResultAsync<WriteAnswer, StoreFailure> => {
+  const tryWrite = (condition: number | undefined): ResultAsync<WriteResult, StoreFailure> => {
     const quarantined = toStoredQuarantine(quarantine.list());
     const entry = { ...self, incarnation: context.incarnation, quarantined };
     return store.write(GATEWAY_KIND, self.name, entry, condition);
@@ -127,7 +127,7 @@
 type StoredQuarantine = z.infer<typeof storedQuarantineSchema>['quarantined'];
 
 /** Converts ages to Unix timestamps, which stay valid across restarts. */
-function toStoredQuarantine(quarantined: readonly ToldQuarantine[]): StoredQuarantine {
+function toStoredQuarantine(quarantined: readonly QuarantineNotice[]): StoredQuarantine {
   const now = Date.now();
   return quarantined.map(({ fingerprint, ageMs, leftMs }) => ({
     fingerprint,
@@ -137,7 +137,7 @@
 }
 
 /** Converts Unix timestamps back to ages. Ages are clamped to 0 in case the clock was set back. */
-function fromStoredQuarantine(stored: StoredQuarantine): ToldQuarantine[] {
+function fromStoredQuarantine(stored: StoredQuarantine): QuarantineNotice[] {
   const now = Date.now();
   return stored.map(({ fingerprint, since, until }) => ({
     fingerprint,
--- a/src/gateway/peers/rpc.ts
+++ b/src/gateway/peers/rpc.ts
@@ -7,7 +7,7 @@
 import { createRpcLink, createRpcListener, type RpcListener } from '../../adapters/peers/index.js';
 import { digestSchema, type Digest, type Versions } from '../../controllers/peering/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
-import { callWithin } from '../../core/timeout/index.js';
+import { callWithTimeout } from '../../core/timeout/index.js';
 import type { FleetUpdate } from '../store/fleet-part.js';
 import {
   configurationNoticeSchema,
@@ -78,19 +78,19 @@
   };
   return {
     exchange: (address, digest) =>
-      callWithin(CALL_TIMEOUT_MS, (signal) =>
+      callWithTimeout(CALL_TIMEOUT_MS, (signal) =>
         rpcClientFor(address).exchange.mutate(digest, { signal }),
       ),
     catchUp: (address, versions) =>
-      callWithin(CALL_TIMEOUT_MS, (signal) =>
+      callWithTimeout(CALL_TIMEOUT_MS, (signal) =>
         rpcClientFor(address).catchUp.query(versions, { signal }),
       ),
     sendFleetUpdate: (address, update) =>
-      callWithin(CALL_TIMEOUT_MS, (signal) =>
+      callWithTimeout(CALL_TIMEOUT_MS, (signal) =>
         rpcClientFor(address).news.mutate(update, { signal }),
       ),
     notifyConfigurationVersion: (address, configurationVersion) =>
-      callWithin(CALL_TIMEOUT_MS, (signal) =>
+      callWithTimeout(CALL_TIMEOUT_MS, (signal) =>
         rpcClientFor(address).notice.mutate({ configurationVersion }, { signal }),
       ),
     close: () => agent.destroy(),
--- a/src/gateway/requests/quarantine.ts
+++ b/src/gateway/requests/quarantine.ts
@@ -9,7 +9,7 @@
 import {
   QuarantineTable,
   type RequestReport,
-  type ToldQuarantine,
+  type QuarantineNotice,
 } from '../../controllers/quarantine/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { BackendServer } from '../../ports/index.js';
@@ -31,9 +31,9 @@
   buildDigest(): QuarantineDigest;
   /** Merges the digest of another gateway. */
   mergeDigest(digest: Digest): void;
-  list(): ToldQuarantine[];
+  list(): QuarantineNotice[];
   /** Restores the requests that were in quarantine before a restart. */
-  restore(quarantined: readonly ToldQuarantine[]): void;
+  restore(quarantined: readonly QuarantineNotice[]): void;
   /** Called when this gateway has a new report that the others should get immediately. */
   onReport(listener: () => void): void;
   /** Called when this gateway's own evidence has quarantined a request. */
@@ -62,13 +62,13 @@
 
   const logQuarantined = (fingerprint: string, source: string): void => {
     metrics.quarantined.inc();
-    const leftMs = Math.round(table.leftMs(fingerprint, clock.now()) ?? 0);
+    const leftMs = Math.round(table.remainingMs(fingerprint, clock.now()) ?? 0);
     logger.log('requestQuarantined', { fingerprint, source, leftMs });
   };
   const recordServerExit = (server: string, fingerprints: Iterable<string>): void => {
     const now = clock.now();
     const newlyQuarantined = [...fingerprints].filter((fingerprint) =>
-      table.record({ kind: 'serverEnded', fingerprint, server, ageMs: 0 }, now),
+      table.recordOwnReport({ kind: 'serverEnded', fingerprint, server, ageMs: 0 }, now),
     );
     for (const fingerprint of newlyQuarantined) logQuarantined(fingerprint, 'own evidence');
     for (const listener of reportListeners) listener();
@@ -101,15 +101,15 @@
     }
   };
   const mergeReport = (report: RequestReport, peer: string): void => {
-    if (table.learn(report, clock.now())) logQuarantined(report.fingerprint, peer);
+    if (table.applyReport(report, clock.now())) logQuarantined(report.fingerprint, peer);
   };
-  const mergeQuarantined = (quarantined: readonly ToldQuarantine[], source: string): void => {
+  const mergeQuarantined = (quarantined: readonly QuarantineNotice[], source: string): void => {
     for (const entry of quarantined) {
-      if (table.learnQuarantine(entry, clock.now())) logQuarantined(entry.fingerprint, source);
+      if (table.applyNotice(entry, clock.now())) logQuarantined(entry.fingerprint, source);
     }
   };
   return {
-    leftMs: (fingerprint) => table.leftMs(fingerprint, clock.now()),
+    leftMs: (fingerprint) => table.remainingMs(fingerprint, clock.now()),
     recordBroken: (fingerprint, server) => {
       const now = clock.now();
       pruneExitChecks(now);
@@ -127,7 +127,7 @@
       }
     },
     recordAnswered: (fingerprint) => {
-      table.record({ kind: 'answered', fingerprint, ageMs: 0 }, clock.now());
+      table.recordOwnReport({ kind: 'answered', fingerprint, ageMs: 0 }, clock.now());
     },
     buildDigest: () => {
       const now = clock.now();
--- a/src/gateway/requests/request-queues.ts
+++ b/src/gateway/requests/request-queues.ts
@@ -3,9 +3,9 @@
  */
 import {
   FirstEventTimes,
-  listHopeless,
-  orderLine,
-  type LinePace,
+  listUnservable,
+  orderQueue,
+  type QueueThroughput,
   type WaitingRequest,
 } from '../../controllers/waiting/index.js';
 import type { Clock, Milliseconds } from '../../core/clock/index.js';
@@ -44,7 +44,7 @@
 
 interface RequestQueue {
   waiting: Set<QueuedRequest>;
-  pace: LinePace;
+  pace: QueueThroughput;
 }
 
 export function createRequestQueues(clock: Clock): RequestQueues {
@@ -62,10 +62,10 @@
   };
   const dispatchQueue = ({ waiting, pace }: RequestQueue): void => {
     const now = clock.now();
-    for (const next of orderLine(waiting, now)) {
+    for (const next of orderQueue(waiting, now)) {
       if (!next.trySend()) break;
     }
-    for (const expired of listHopeless(orderLine(waiting, now), now, pace)) expired.reject();
+    for (const expired of listUnservable(orderQueue(waiting, now), now, pace)) expired.reject();
   };
   const dispatch = (): void => {
     for (const queue of queues.values()) if (queue.waiting.size > 0) dispatchQueue(queue);
--- a/src/gateway/requests/request-report.ts
+++ b/src/gateway/requests/request-report.ts
@@ -1,7 +1,7 @@
 /**
  * Log lines and metrics of a request's attempts and its end.
  */
-import { roundedAge } from '../../controllers/freshness/index.js';
+import { roundedProofAge } from '../../controllers/freshness/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { GatewayContext } from '../types.js';
 import type { ChosenTarget } from './backend-tracker.js';
@@ -62,7 +62,7 @@
 }: GatewayContext): Record<string, number | undefined> {
   return {
     configuration: board.serving.read()?.configuration.version,
-    configurationAgeMs: roundedAge(board.configurationProof.read(), clock.now()),
+    configurationAgeMs: roundedProofAge(board.configurationProof.read(), clock.now()),
   };
 }
 
--- a/src/gateway/requests/response-relay.ts
+++ b/src/gateway/requests/response-relay.ts
@@ -1,7 +1,7 @@
 /**
  * Relays responses of backend servers to callers.
  */
-import type { RequestDialect } from '../../ports/index.js';
+import type { RequestCodec } from '../../ports/index.js';
 import type { AttemptResponse } from '../backends/attempt.js';
 import type { Reply } from './reply.js';
 import type { TrackedAttempt } from './tracked-attempt.js';
@@ -20,11 +20,11 @@
  */
 export function sendBuffered(
   reply: Reply,
-  dialect: RequestDialect,
+  dialect: RequestCodec,
   { status, framing, headers }: AttemptResponse,
   body: Buffer,
 ): void {
-  const responseHeaders = dialect.relayAnswer(headers);
+  const responseHeaders = dialect.filterResponseHeaders(headers);
   if (framing !== 'connection') {
     reply.send(status, responseHeaders, body);
     return;
@@ -37,14 +37,14 @@
 /** Relays events with backpressure from the caller; `bytes` may be empty. */
 export function relayEvents(
   reply: Reply,
-  dialect: RequestDialect,
+  dialect: RequestCodec,
   attempt: TrackedAttempt,
   response: AttemptResponse,
   bytes: Buffer,
 ): void {
   if (reply.isUnsent) {
     const isCloseDelimited = response.framing === 'connection';
-    reply.start(response.status, dialect.relayAnswer(response.headers), isCloseDelimited);
+    reply.start(response.status, dialect.filterResponseHeaders(response.headers), isCloseDelimited);
   }
   if (bytes.length === 0 || reply.write(bytes)) return;
   attempt.pause();
--- a/src/gateway/store/client.ts
+++ b/src/gateway/store/client.ts
@@ -5,7 +5,7 @@
 import { Pool } from 'undici';
 import type { Clock, Milliseconds } from '../../core/clock/index.js';
 import { createFailure, type Failure } from '../../core/errors/index.js';
-import { callWithin } from '../../core/timeout/index.js';
+import { callWithTimeout } from '../../core/timeout/index.js';
 import {
   eraOf,
   qualifyChanges,
@@ -17,10 +17,10 @@
 import type {
   StoreCall,
   StoreChanges,
-  StoreDialect,
+  StoreCodec,
   StoreObject,
   StorePage,
-  WriteAnswer,
+  WriteResult,
 } from '../../ports/index.js';
 
 /** A failed call to the store. After `platformOutcomeUnknown` a write may have taken effect. */
@@ -47,7 +47,7 @@
     name: string,
     value: unknown,
     revision?: number,
-  ): ResultAsync<WriteAnswer, StoreFailure>;
+  ): ResultAsync<WriteResult, StoreFailure>;
   /** The cheapest call that shows whether the store answers. */
   check(kind: string, name: string): ResultAsync<void, StoreFailure>;
   /**
@@ -65,7 +65,7 @@
 interface ObjectStoreOptions {
   /** `host:port`. */
   address: string;
-  dialect: StoreDialect;
+  dialect: StoreCodec;
   timeoutMs: Milliseconds;
   clock: Clock;
   /** Called for each call that is sent. */
@@ -139,7 +139,7 @@
     const kind = call.method === 'GET' ? 'read' : 'write';
     const sentAt = clock.now();
     const usedPool = pool;
-    const request = callWithin(
+    const request = callWithTimeout(
       waitMs,
       async (callSignal) => {
         const { statusCode, headers, body } = await usedPool.request({
@@ -221,7 +221,7 @@
         .mapErr(({ message }): StoreFailure =>
           createFailure('platformOutcomeUnknown', { reason: message }),
         )
-        .andThen(({ status, body, era: answerEra }): Result<WriteAnswer, StoreFailure> => {
+        .andThen(({ status, body, era: answerEra }): Result<WriteResult, StoreFailure> => {
           if (revision !== undefined && isFromEarlierEra(revision)) return err(staleWrite());
           const answer = dialect.decodeWrite(status, body);
           return answer ? ok(qualifyWrite(answer, answerEra)) : err(failedWrite(status));
@@ -252,7 +252,7 @@
 }
 
 interface ListOptions {
-  dialect: StoreDialect;
+  dialect: StoreCodec;
   kind: string;
   pages: readonly StorePage[];
   send: (call: StoreCall) => ResultAsync<StoreAnswer, StoreFailure>;
--- a/src/gateway/store/configuration-part.ts
+++ b/src/gateway/store/configuration-part.ts
@@ -5,9 +5,9 @@
 import type { WritableSection } from '../../board/index.js';
 import { indexConfiguration, type ServingIndex } from '../../controllers/forwarding/index.js';
 import {
-  boundProofs,
+  computeProofBounds,
   laterProof,
-  roundedAge,
+  roundedProofAge,
   type Proof,
 } from '../../controllers/freshness/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
@@ -57,7 +57,7 @@
   let isReading = false;
   /** The newest version known to be active at a peer. */
   let newestPeerVersion = 0;
-  const { readEveryMs } = boundProofs(context.settings.configuration.applyMs);
+  const { minReadIntervalMs } = computeProofBounds(context.settings.configuration.applyMs);
   let lastReadAt = Number.NEGATIVE_INFINITY;
 
   const activeVersion = (): number | undefined => section.read()?.configuration.version;
@@ -68,7 +68,7 @@
     logger.log('servingConfigurationTaken', {
       version: configuration.version,
       before: current,
-      beforeAgeMs: roundedAge(proof.read(), clock.now()),
+      beforeAgeMs: roundedProofAge(proof.read(), clock.now()),
       source,
       routes: configuration.routes.length,
     });
@@ -110,7 +110,7 @@
     return true;
   };
   const waitForReadSlot = async (): Promise<void> => {
-    const leftMs = lastReadAt + readEveryMs - clock.now();
+    const leftMs = lastReadAt + minReadIntervalMs - clock.now();
     if (leftMs > 0) await sleep(leftMs, undefined, { ref: false });
     lastReadAt = clock.now();
   };
--- a/src/gateway/store/dropped-items.ts
+++ b/src/gateway/store/dropped-items.ts
@@ -2,11 +2,11 @@
  * Logs items of the store's answers that could not be read.
  */
 import type { Logger } from '../../core/logger/index.js';
-import type { DroppedItems, StoreDialect } from '../../ports/index.js';
+import type { DroppedItemCount, StoreCodec } from '../../ports/index.js';
 
 /** Wraps `dialect` to log each answer that contains items without a readable name. */
-export function logDroppedItems(dialect: StoreDialect, logger: Logger): StoreDialect {
-  const logDropped = <Answer extends DroppedItems>(
+export function logDroppedItems(dialect: StoreCodec, logger: Logger): StoreCodec {
+  const logDropped = <Answer extends DroppedItemCount>(
     answer: Answer | undefined,
   ): Answer | undefined => {
     const items = answer?.dropped ?? 0;
--- a/src/gateway/store/follower-switch.ts
+++ b/src/gateway/store/follower-switch.ts
@@ -2,7 +2,12 @@
  * A follower of the store that runs only while this gateway has to follow the store itself.
  */
 import type { WritableSection } from '../../board/index.js';
-import { ageOf, boundProofs, laterProof, type Proof } from '../../controllers/freshness/index.js';
+import {
+  proofAge,
+  computeProofBounds,
+  laterProof,
+  type Proof,
+} from '../../controllers/freshness/index.js';
 import type { Milliseconds } from '../../core/clock/index.js';
 import type { GatewayContext } from '../types.js';
 import { createFollower, type Follower, type FollowOptions } from './follower.js';
@@ -54,7 +59,7 @@
   ...options
 }: FollowerSwitchOptions): FollowerSwitch {
   const { clock, logger, random, settings } = context;
-  const { askAfterMs } = boundProofs(options.maxStalenessMs);
+  const { recheckAfterMs } = computeProofBounds(options.maxStalenessMs);
   let mode: FollowMode = 'off';
   let follower: Follower | undefined;
   let stopping: Promise<unknown> = Promise.resolve();
@@ -65,7 +70,7 @@
       clock,
       random,
       watchMs: settings.store.watchMs,
-      proofDueInMs: () => askAfterMs - (ageOf(proof.read(), clock.now()) ?? Infinity),
+      proofDueInMs: () => recheckAfterMs - (proofAge(proof.read(), clock.now()) ?? Infinity),
       retryAfterMs: () => RETRY_AFTER_MS[mode],
       onError: (error) => {
         logger.log('unexpectedError', {
--- a/src/gateway/store/qualified-revision.ts
+++ b/src/gateway/store/qualified-revision.ts
@@ -5,7 +5,7 @@
  * answer carries, counts the restores. Without it, changes after a restore would look old, and a
  * conditional write could match a revision of another history.
  */
-import type { StoreChanges, StoreObject, StorePage, WriteAnswer } from '../../ports/index.js';
+import type { StoreChanges, StoreObject, StorePage, WriteResult } from '../../ports/index.js';
 
 /** Keeps qualified revisions of more than 100,000 eras within the safe integers. */
 const REVISIONS_PER_ERA = 2 ** 36;
@@ -45,7 +45,7 @@
   return { changes: qualified, revision: qualifyRevision(era, revision) };
 }
 
-export function qualifyWrite(answer: WriteAnswer, era: number): WriteAnswer {
+export function qualifyWrite(answer: WriteResult, era: number): WriteResult {
   switch (answer.kind) {
     case 'written':
       return { kind: 'written', object: qualifyObject(answer.object, era) };
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -10,19 +10,19 @@
 import type { Random } from '../core/random/index.js';
 import type {
   BackendServer,
-  OrderDialect,
-  RequestDialect,
+  OrderCodec,
+  RequestCodec,
   ServingConfiguration,
-  StoreDialect,
+  StoreCodec,
 } from '../ports/index.js';
 import type { GatewayMetrics } from './operations/metrics.js';
 import type { GatewaySettings } from './settings.js';
 
 /** Adapter of a platform: encodings of its store, engines, requests and configuration. */
 export interface ServingPlatform {
-  store: StoreDialect;
-  orders: OrderDialect;
-  requests: RequestDialect;
+  store: StoreCodec;
+  orders: OrderCodec;
+  requests: RequestCodec;
   /** Kind of the store objects that describe one backend server each. */
   serverKind: string;
   decodeServer(name: string, value: unknown): BackendServer | undefined;
--- a/src/ports/object-store.ts
+++ b/src/ports/object-store.ts
@@ -32,7 +32,7 @@
 }
 
 /** Number of items that were left out of a response because their metadata was invalid. */
-export interface DroppedItems {
+export interface DroppedItemCount {
   dropped: number;
 }
 
@@ -49,7 +49,7 @@
 }
 
 /** Result of a conditional write. */
-export type WriteAnswer =
+export type WriteResult =
   | { kind: 'written'; object: StoreObject }
   /** The revision didn't match; `object` is the current state, if the response includes it. */
   | { kind: 'conflict'; object?: StoreObject }
@@ -59,7 +59,7 @@
  * Encodes requests to a store and decodes its responses. Decoders return undefined for invalid
  * input. An invalid list item with valid metadata is decoded to an object without a value.
  */
-export interface StoreDialect {
+export interface StoreCodec {
   list(kind: string, after?: string): StoreCall;
   read(kind: string, name: string): StoreCall;
   watch(kind: string, since: number, waitMs: Milliseconds): StoreCall;
@@ -68,11 +68,11 @@
   check(kind: string, name: string): StoreCall;
   /** Takes effect only if the object's current revision is `revision`. */
   replace(kind: string, name: string, value: unknown, revision: number): StoreCall;
-  decodePage(body: string): (StorePage & DroppedItems) | undefined;
+  decodePage(body: string): (StorePage & DroppedItemCount) | undefined;
   decodeObject(body: string): StoreObject | undefined;
-  decodeChanges(body: string): (StoreChanges & DroppedItems) | undefined;
+  decodeChanges(body: string): (StoreChanges & DroppedItemCount) | undefined;
   /** Undefined if the status leaves open whether the write has taken or will take effect. */
-  decodeWrite(status: number, body: string): WriteAnswer | undefined;
+  decodeWrite(status: number, body: string): WriteResult | undefined;
   /** How often the store has been restored from an older copy; 0 if the header is missing or invalid. */
   decodeEra(headers: Readonly<Record<string, string | string[] | undefined>>): number;
   /** Whether the status means that the store no longer has the changes that a watch requested. */
--- a/src/ports/orders.ts
+++ b/src/ports/orders.ts
@@ -33,9 +33,9 @@
   | { kind: 'unknown'; reason: string };
 
 /** Encodes orders and report requests to engines and decodes their responses. */
-export interface OrderDialect {
+export interface OrderCodec {
   encodeOrder(order: EngineOrder, server: string): EngineCall;
-  decodeOrder(status: number): OrderOutcome;
+  decodeOutcome(status: number): OrderOutcome;
   encodeReport(server: string): EngineCall;
   /** Undefined if the body is not a valid report. */
   decodeReport(body: string): EngineReportSummary | undefined;
--- a/src/ports/requests.ts
+++ b/src/ports/requests.ts
@@ -23,7 +23,7 @@
 }
 
 /** Values that the gateway adds as headers to a request to a backend server. */
-export interface SentRequest {
+export interface ForwardingContext {
   /** Id of the intended backend server; any other server at its address refuses the request. */
   server: string;
   deadlineMs: Milliseconds;
@@ -34,7 +34,7 @@
 }
 
 /** Fields decoded from the status and headers of a response. */
-export interface AnswerHead {
+export interface ResponseHead {
   requestId?: string;
   /** Whether the response has a signature header of the backend server. */
   signed: boolean;
@@ -46,11 +46,11 @@
 }
 
 /** Decodes, encodes and filters the headers of requests and responses. */
-export interface RequestDialect {
+export interface RequestCodec {
   decodeRequest(headers: RawHeaders): CallerRequest;
   /** Returns the headers to send: the caller's end-to-end headers and those for `sent`. */
-  encodeRequest(headers: RawHeaders, sent: SentRequest): string[];
-  decodeAnswer(status: number, headers: RawHeaders): AnswerHead;
+  encodeRequest(headers: RawHeaders, sent: ForwardingContext): string[];
+  decodeResponse(status: number, headers: RawHeaders): ResponseHead;
   /** Returns the response headers that are forwarded to the caller. */
-  relayAnswer(headers: RawHeaders): string[];
+  filterResponseHeaders(headers: RawHeaders): string[];
 }
