--- a/features/gateway/store-copy.steps.ts
+++ b/features/gateway/store-copy.steps.ts
@@ -251,7 +251,7 @@
     await this.store.listen();
     this.client = createObjectStore({
       address: this.store.address,
-      dialect: platform.store,
+      codec: platform.store,
       timeoutMs: STORE_TIMEOUT_MS,
       clock: createSystemClock(),
       onCall: () => undefined,
--- a/features/health/health-digests.feature
+++ b/features/health/health-digests.feature
@@ -1,7 +1,7 @@
 Feature: Entries relay the reports of the engines that they probe
 
   Scenario: What is passed on says what the engine said
-    # Guards against restoring a report with the wrong incarnation, fencing number or rank, and thus
+    # Guards against restoring a report with the wrong incarnation, fencing token or rank, and thus
     # sending requests to a replica that is not whole.
     When 500 random reports of one replica's engines are relayed
     Then each restored report equals the original
@@ -34,9 +34,9 @@
   Scenario: A passed place counts only under the plan that it was held in
     # Guards against restoring reports from a plan that changed while the digest was in transit.
     Given an entry that knows a replica of 3 only from the digests of its probers
-    When the entry's plan changes to another fencing number
+    When the entry's plan changes to another fencing token
     And the same digests arrive again
-    Then no member's report there has the new fencing number
+    Then no member's report there has the new fencing token
 
   Scenario: An entry that was paused tells nobody that its probes failed
     # Guards against a resumed process reporting its timed-out probes as failures, and accepting
--- a/features/health/health-digests.steps.ts
+++ b/features/health/health-digests.steps.ts
@@ -213,7 +213,7 @@
   assert.deepEqual(listDueMembers(this), MEMBERS);
 });
 
-When("the entry's plan changes to another fencing number", function (this: HealthDigestWorld) {
+When("the entry's plan changes to another fencing token", function (this: HealthDigestWorld) {
   this.plans = createPlans(8);
 });
 
@@ -222,7 +222,7 @@
   receive(this, this.digest, 200);
 });
 
-Then("no member's report there has the new fencing number", function (this: HealthDigestWorld) {
+Then("no member's report there has the new fencing token", function (this: HealthDigestWorld) {
   for (const { report } of this.health.values()) assert.notEqual(report?.replica?.fence, 8);
 });
 
--- a/src/controllers/health/eligibility.ts
+++ b/src/controllers/health/eligibility.ts
@@ -3,7 +3,7 @@
  *
  * A replica is eligible only if all of its members are: its phase in the plan is `whole`, and every
  * member is listed by the platform, is not leaving or failing, has a recent report, and reports the
- * same replica, fencing number, rank and incarnation as the plan. A restarted member reports
+ * same replica, fencing token, rank and incarnation as the plan. A restarted member reports
  * another incarnation, and a member moved by an outdated order reports another replica or fencing
  * number. Each entry can thus take the replica out of service without coordinating with the others.
  */
@@ -169,7 +169,7 @@
   return health?.report !== undefined && now - health.heardAt < freshMs;
 }
 
-/** Whether the engine reports the replica, rank, size and fencing number that the plan assigns. */
+/** Whether the engine reports the replica, rank, size and fencing token that the plan assigns. */
 export function matchesPlacement(report: EngineReport, replica: Replica, rank: number): boolean {
   const held = report.replica;
   if (held?.id !== replica.id) return false;
--- a/src/controllers/health/health-digest.ts
+++ b/src/controllers/health/health-digest.ts
@@ -2,7 +2,7 @@
  * Encodes and decodes the health digest, by which an entry relays the reports of the engines that
  * it probes, so that other entries need not probe them.
  *
- * Every entry knows the plan, so for an engine in its planned placement the fencing number replaces
+ * Every entry knows the plan, so for an engine in its planned placement the fencing token replaces
  * the whole report. The text changes only when an engine's state does; otherwise a gossip heartbeat
  * of its author is enough to keep it fresh.
  */
@@ -23,7 +23,7 @@
 
 const placedEngineSchema = z.strictObject({
   instance: nameSchema,
-  /** The fencing number of the replica that the engine belongs to. */
+  /** The fencing token of the replica that the engine belongs to. */
   fence: z.number().int().nonnegative(),
   /** Omitted if zero. */
   inFlight: z.number().int().nonnegative().optional(),
--- a/src/gateway/backends/attempt.ts
+++ b/src/gateway/backends/attempt.ts
@@ -54,8 +54,8 @@
 /** Starts an attempt. */
 export type AttemptSender = (request: AttemptRequest, observer: AttemptObserver) => Attempt;
 
-export function createAttemptSender(pool: ConnectionPool, dialect: RequestCodec): AttemptSender {
-  return (request, observer) => new RunningAttempt(request, observer, pool, dialect).start();
+export function createAttemptSender(pool: ConnectionPool, codec: RequestCodec): AttemptSender {
+  return (request, observer) => new RunningAttempt(request, observer, pool, codec).start();
 }
 
 /** Dispatches one request on one connection. */
@@ -73,7 +73,7 @@
     private readonly request: AttemptRequest,
     private readonly observer: AttemptObserver,
     private readonly pool: ConnectionPool,
-    private readonly dialect: RequestCodec,
+    private readonly codec: RequestCodec,
   ) {
     this.server = request.server;
     this.connection = pool.acquire(request.server, request.requiresNewConnection);
@@ -120,7 +120,7 @@
   onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
     if (this.isFinished || status < 200) return;
     const headers = readRawHeaders(controller.rawHeaders);
-    const head = this.dialect.decodeResponse(status, headers);
+    const head = this.codec.decodeResponse(status, headers);
     const { requestId } = this.request;
     // Guards against a late response to an earlier request on this connection.
     const isOtherRequest =
--- a/src/gateway/backends/engine-calls.ts
+++ b/src/gateway/backends/engine-calls.ts
@@ -33,11 +33,11 @@
 }
 
 interface EngineCallsOptions {
-  dialect: OrderCodec;
+  codec: OrderCodec;
   onProbe: () => void;
 }
 
-export function createEngineCalls({ dialect, onProbe }: EngineCallsOptions): EngineCalls {
+export function createEngineCalls({ codec, onProbe }: EngineCallsOptions): EngineCalls {
   const agent = new Agent({
     connections: 4,
     pipelining: 1,
@@ -58,9 +58,9 @@
   return {
     order: async ({ to, order }) => {
       try {
-        const encoded = dialect.encodeOrder(order, to.id);
+        const encoded = codec.encodeOrder(order, to.id);
         const { status } = await call(to.address, encoded, ORDER_TIMEOUT_MS);
-        return dialect.decodeOutcome(status);
+        return codec.decodeOutcome(status);
       } catch (error) {
         return isConnectionRefused(error)
           ? { kind: 'gone' }
@@ -70,9 +70,9 @@
     probe: async ({ id, address, startedAt }) => {
       onProbe();
       try {
-        const { status, body } = await call(address, dialect.encodeReport(id), PROBE_TIMEOUT_MS);
+        const { status, body } = await call(address, codec.encodeReport(id), PROBE_TIMEOUT_MS);
         if (status === MISDIRECTED_REQUEST_STATUS) return { kind: 'gone' };
-        const report = dialect.decodeReport(body);
+        const report = codec.decodeReport(body);
         const isOtherProcess = report?.startedAt !== undefined && report.startedAt !== startedAt;
         if (isOtherProcess && startedAt !== undefined) return { kind: 'gone' };
         return { kind: 'answers', pace: report?.pace ?? 1 };
--- a/src/gateway/create-gateway.ts
+++ b/src/gateway/create-gateway.ts
@@ -80,7 +80,7 @@
   const reachability = createReachabilityTracker(context, board.storeReachability);
   const store = createObjectStore({
     address: settings.store.address,
-    dialect: logDroppedItems(platform.store, logger),
+    codec: logDroppedItems(platform.store, logger),
     timeoutMs: settings.store.timeoutMs,
     clock,
     onCall: () => {
@@ -126,7 +126,7 @@
     },
   });
   const engineCalls = createEngineCalls({
-    dialect: platform.orders,
+    codec: platform.orders,
     onProbe: () => {
       metrics.probes.inc();
     },
--- a/src/gateway/requests/response-relay.ts
+++ b/src/gateway/requests/response-relay.ts
@@ -20,11 +20,11 @@
  */
 export function sendBuffered(
   reply: Reply,
-  dialect: RequestCodec,
+  codec: RequestCodec,
   { status, framing, headers }: AttemptResponse,
   body: Buffer,
 ): void {
-  const responseHeaders = dialect.filterResponseHeaders(headers);
+  const responseHeaders = codec.filterResponseHeaders(headers);
   if (framing !== 'connection') {
     reply.send(status, responseHeaders, body);
     return;
@@ -37,14 +37,14 @@
 /** Relays events with backpressure from the caller; `bytes` may be empty. */
 export function relayEvents(
   reply: Reply,
-  dialect: RequestCodec,
+  codec: RequestCodec,
   attempt: TrackedAttempt,
   response: AttemptResponse,
   bytes: Buffer,
 ): void {
   if (reply.isUnsent) {
     const isCloseDelimited = response.framing === 'connection';
-    reply.start(response.status, dialect.filterResponseHeaders(response.headers), isCloseDelimited);
+    reply.start(response.status, codec.filterResponseHeaders(response.headers), isCloseDelimited);
   }
   if (bytes.length === 0 || reply.write(bytes)) return;
   attempt.pause();
--- a/src/gateway/store/client.ts
+++ b/src/gateway/store/client.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP client of the object store. The platform's dialect encodes calls and decodes answers.
+ * HTTP client of the object store. The platform's codec encodes calls and decodes answers.
  */
 import { err, ok, okAsync, ResultAsync, type Result } from 'neverthrow';
 import { Pool } from 'undici';
@@ -65,7 +65,7 @@
 interface ObjectStoreOptions {
   /** `host:port`. */
   address: string;
-  dialect: StoreCodec;
+  codec: StoreCodec;
   timeoutMs: Milliseconds;
   clock: Clock;
   /** Called for each call that is sent. */
@@ -105,7 +105,7 @@
  * @example const store = createObjectStore(options); const page = await store.list('servers');
  */
 export function createObjectStore(options: ObjectStoreOptions): ObjectStore {
-  const { dialect, timeoutMs, clock } = options;
+  const { codec, timeoutMs, clock } = options;
   let pool = createPool(options.address);
   const retired = new Set<Pool>();
   const replaceConnections = (): void => {
@@ -152,7 +152,7 @@
         return {
           status: statusCode,
           body: await body.text(),
-          era: dialect.decodeEra(headers),
+          era: codec.decodeEra(headers),
         };
       },
       signal,
@@ -180,50 +180,50 @@
     pages: readonly StorePage[],
     signal?: AbortSignal,
   ): Promise<Result<StorePage, StoreFailure>> =>
-    listPages({ dialect, kind, pages, send: (call) => send(call, timeoutMs, signal) });
+    listPages({ codec, kind, pages, send: (call) => send(call, timeoutMs, signal) });
 
   return {
     replaceConnections,
     list: (kind, signal) => new ResultAsync(listFrom(kind, [], signal)),
     read: (kind, name) =>
-      send(dialect.read(kind, name), timeoutMs).andThen((answer) => {
+      send(codec.read(kind, name), timeoutMs).andThen((answer) => {
         const { status, body } = answer;
         if (status === 404) return ok(undefined);
-        const object = status === 200 ? dialect.decodeObject(body) : undefined;
+        const object = status === 200 ? codec.decodeObject(body) : undefined;
         return object ? ok(qualifyObject(object, answer.era)) : err(unusableAnswer(status));
       }),
     watch: (kind, since, waitMs, signal) => {
       if (isFromEarlierEra(since)) return okAsync({ kind: 'historyGone' });
       return send(
-        dialect.watch(kind, revisionOf(since), waitMs),
+        codec.watch(kind, revisionOf(since), waitMs),
         Math.max(timeoutMs, waitMs + WATCH_GRACE_MS),
         signal,
       ).andThen((answer): Result<WatchAnswer, StoreFailure> => {
         const { status, body } = answer;
-        if (dialect.isHistoryGone(status) || isFromEarlierEra(since))
+        if (codec.isHistoryGone(status) || isFromEarlierEra(since))
           return ok({ kind: 'historyGone' });
-        const changes = status === 200 ? dialect.decodeChanges(body) : undefined;
+        const changes = status === 200 ? codec.decodeChanges(body) : undefined;
         return changes
           ? ok({ kind: 'changes', changes: qualifyChanges(changes, answer.era) })
           : err(unusableAnswer(status));
       });
     },
-    check: (kind, name) => send(dialect.check(kind, name), timeoutMs).map(() => undefined),
+    check: (kind, name) => send(codec.check(kind, name), timeoutMs).map(() => undefined),
     write: (kind, name, value, revision) => {
       // After a restore the same revision may stand for another state of the object.
       if (revision !== undefined && isFromEarlierEra(revision))
         return okAsync({ kind: 'conflict' });
       const call =
         revision === undefined
-          ? dialect.create(kind, name, value)
-          : dialect.replace(kind, name, value, revisionOf(revision));
+          ? codec.create(kind, name, value)
+          : codec.replace(kind, name, value, revisionOf(revision));
       return send(call, timeoutMs)
         .mapErr(({ message }): StoreFailure =>
           createFailure('platformOutcomeUnknown', { reason: message }),
         )
         .andThen(({ status, body, era: answerEra }): Result<WriteResult, StoreFailure> => {
           if (revision !== undefined && isFromEarlierEra(revision)) return err(staleWrite());
-          const answer = dialect.decodeWrite(status, body);
+          const answer = codec.decodeWrite(status, body);
           return answer ? ok(qualifyWrite(answer, answerEra)) : err(failedWrite(status));
         });
     },
@@ -252,21 +252,21 @@
 }
 
 interface ListOptions {
-  dialect: StoreCodec;
+  codec: StoreCodec;
   kind: string;
   pages: readonly StorePage[];
   send: (call: StoreCall) => ResultAsync<StoreAnswer, StoreFailure>;
 }
 
 async function listPages(options: ListOptions): Promise<Result<StorePage, StoreFailure>> {
-  const { dialect, kind, send } = options;
+  const { codec, kind, send } = options;
   const pages = [...options.pages];
   while (pages.length < MAX_PAGES) {
     const after = pages.at(-1)?.objects.at(-1)?.name;
-    const answer = await send(dialect.list(kind, after));
+    const answer = await send(codec.list(kind, after));
     if (answer.isErr()) return err(answer.error);
     const { status, body, era } = answer.value;
-    const page = status === 200 ? dialect.decodePage(body) : undefined;
+    const page = status === 200 ? codec.decodePage(body) : undefined;
     if (page === undefined) return err(unusableAnswer(status));
     const [first] = pages;
     if (first && eraOf(first.revision) !== era) return err(staleAnswer());
--- a/src/gateway/store/dropped-items.ts
+++ b/src/gateway/store/dropped-items.ts
@@ -4,8 +4,8 @@
 import type { Logger } from '../../core/logger/index.js';
 import type { DroppedItemCount, StoreCodec } from '../../ports/index.js';
 
-/** Wraps `dialect` to log each answer that contains items without a readable name. */
-export function logDroppedItems(dialect: StoreCodec, logger: Logger): StoreCodec {
+/** Wraps `codec` to log each answer that contains items without a readable name. */
+export function logDroppedItems(codec: StoreCodec, logger: Logger): StoreCodec {
   const logDropped = <Answer extends DroppedItemCount>(
     answer: Answer | undefined,
   ): Answer | undefined => {
@@ -14,8 +14,8 @@
     return answer;
   };
   return {
-    ...dialect,
-    decodePage: (body) => logDropped(dialect.decodePage(body)),
-    decodeChanges: (body) => logDropped(dialect.decodeChanges(body)),
+    ...codec,
+    decodePage: (body) => logDropped(codec.decodePage(body)),
+    decodeChanges: (body) => logDropped(codec.decodeChanges(body)),
   };
 }
