--- a/features/routing/wiring.steps.ts
+++ b/features/routing/wiring.steps.ts
@@ -10,7 +10,7 @@
 import { createRandom } from '../../src/core/random/index.js';
 import { entrySettingsSchema } from '../../src/core/settings/index.js';
 import { createLimits, type Limits } from '../../src/entry/limits/index.js';
-import { createDispatcher, type DispatchResult } from '../../src/entry/requests/dispatcher.js';
+import { createDispatcher, type DispatchOutcome } from '../../src/entry/requests/dispatcher.js';
 import type { EntryContext } from '../../src/entry/types.js';
 import { policySchema, workspaceSchema } from '../../src/objects/index.js';
 import { call } from '../requests/client.js';
@@ -22,7 +22,7 @@
   limitsComponent?: Limits;
   board: BoardWriters;
   dispatcher: ReturnType<typeof createDispatcher>;
-  grants: { workspace: string; grant: DispatchResult }[];
+  grants: { workspace: string; grant: DispatchOutcome }[];
 }
 
 const UNUSED_ADDRESS = '127.0.0.1:0';
--- a/src/entry/requests/dispatcher.ts
+++ b/src/entry/requests/dispatcher.ts
@@ -21,7 +21,7 @@
 import type { EntryContext, Part } from '../types.js';
 
 /** Result of waiting for dispatch: a replica to send to, or a refusal. */
-export type DispatchResult =
+export type DispatchOutcome =
   | { kind: 'send'; candidate: Candidate; isCrowding: boolean }
   | { kind: 'refused'; failure: Failure };
 
@@ -29,7 +29,7 @@
   /** Also used to select service instances. */
   state: DispatchState;
   /** Queues a request. Calls `onResult` once, possibly synchronously, unless it is withdrawn. */
-  offer(request: WaitingRequest, onResult: (result: DispatchResult) => void): void;
+  offer(request: WaitingRequest, onResult: (result: DispatchOutcome) => void): void;
   withdraw(ticket: string): void;
   reportFirstToken(ticket: string): void;
   /** Reports the end of a request that was sent, successful or not. */
@@ -40,7 +40,7 @@
 export function createDispatcher(context: EntryContext, eligible: EligibleReplicas): Dispatcher {
   const { board, clock, random, settings, identity } = context;
   const state = createDispatchState();
-  const callbacks = new Map<string, (result: DispatchResult) => void>();
+  const callbacks = new Map<string, (result: DispatchOutcome) => void>();
   const getPeerSentCounts = createPeerSentCounts();
   const unsubscribers: (() => void)[] = [];
   let timer: NodeJS.Timeout | undefined;
